--- a/src/lavendergap/coordination/admission.py
+++ b/src/lavendergap/coordination/admission.py
@@ -1,4 +1,4 @@
-"""Which calls wait for a slot, in which order, and which are refused at once."""
+"""Admission of calls to a group's queue, and the order in which they wait."""
 
 from bisect import bisect_left, bisect_right, insort
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 from .hedging import RecentLatencies
 from .progress import Progress
 
-# A refused caller comes back when the queue that it met has been served: not at
-# once, which would be the same load again, and not after a long silence.
+# Bounds on the delay suggested to a refused caller. It should return once the queue has
+# been served: an immediate return would repeat the same load.
 SHORTEST_RETRY_AFTER = 0.02
 LONGEST_RETRY_AFTER = 5.0
-# Longer than a deadline, since the queue absorbs a shorter burst; short against the
-# minute in which all callers arrive.
+# Longer than a deadline, as the queue absorbs shorter bursts, and short enough to
+# follow a rise in load.
 ARRIVAL_WINDOW = 0.5
-# Fewer calls than this in a window are a burst, however close together they come.
+# Fewer calls in a window are a burst, and no rate is computed.
 MIN_ARRIVALS = 20
 TARGET_PRESSURE = 0.15
 PRESSURE_GAIN = 1.0
@@ -28,19 +28,18 @@
 
 
 class WaitingCalls:
-    """Calls that wait for a slot: the most urgent first, then the earliest deadline.
+    """Calls that wait for a slot, by priority and then by deadline.
 
-    With one priority and one deadline for all calls this is first come, first
-    served, and a retry keeps the place that its deadline gives it. Without the
-    priority a short deadline would go before what its operator calls more urgent,
-    and under overload the urgent would be refused for it. See
-    docs/design/admission.md for the orders that were weighed.
+    With one priority and one deadline for all calls the order is first come, first
+    served. A retry is sorted by the deadline of its call. Priority comes first so that
+    under overload urgent calls are not refused in favour of those with a short
+    deadline. See docs/design/admission.md for the alternatives.
     """
 
     __slots__ = ("_entries",)
 
     def __init__(self) -> None:
-        # Call ids are unique, so a comparison never reaches the last member.
+        # Call ids are unique, so a comparison never reaches the `Progress`.
         self._entries: list[_Entry] = []
 
     def __len__(self) -> int:
@@ -50,20 +49,20 @@
         return self._entries[index][3]
 
     def add(self, progress: Progress) -> None:
-        """Add a call at the place that its priority and deadline give it."""
+        """Add a call at the place given by its priority and deadline."""
         call = progress.call
         insort(self._entries, (call.priority, call.deadline, call.call_id, progress))
         progress.is_waiting = True
 
     def discard(self, progress: Progress) -> None:
-        """Remove a call that waits here."""
+        """Remove a waiting call."""
         call = progress.call
         key = (call.priority, call.deadline, call.call_id)
         del self._entries[bisect_left(self._entries, key)]
         progress.is_waiting = False
 
     def count_ahead(self, *, priority: int, deadline: float) -> int:
-        """Count the calls that would be served before a new one."""
+        """Count the waiting calls that would be served before a new one."""
         return bisect_right(self._entries, (priority, deadline), key=_get_place)
 
     def pop_late(self, *, now: float, needed: float) -> list[Progress]:
@@ -75,7 +74,7 @@
 
     @property
     def first_deadline(self) -> float | None:
-        """The earliest deadline of all that wait, in seconds, or None."""
+        """The earliest deadline of the waiting calls, in seconds, or None."""
         return min((entry[1] for entry in self._entries), default=None)
 
 
@@ -83,8 +82,8 @@
 class Capacity:
     """The slots that can be used now, or the time until the first one can be.
 
-    `opens_in` is in seconds and 0 while `n_slots` is not. With `is_cold` all servers
-    are cold and bear a few requests a second, however soon the next may be sent.
+    `opens_in` is in seconds, and 0 unless `n_slots` is 0. With `is_cold` all servers
+    are cold and take only a few requests a second, so that calls are not queued.
     """
 
     n_slots: int
@@ -93,7 +92,7 @@
 
 
 class Arrivals:
-    """The rate of calls over the last half to one second, in calls a second.
+    """The rate of calls a second over the last half to one second.
 
     It is 0 while there are too few calls to tell a rate from a burst.
 
@@ -128,13 +127,13 @@
 
 
 def compute_level(*, demand: float, pressure: float) -> float:
-    """Compute the share of calls to admit, from 0 to 1.
+    """Return the share of calls to admit, from 0 to 1.
 
-    `demand` is the load offered as a multiple of the capacity; `pressure` is the
-    wait as a share of the time that a new call has. The first alone would do if
-    both were known exactly; the second corrects it, so that the queue settles at
-    `TARGET_PRESSURE`: long enough to keep all slots busy, short enough that nobody
-    waits in vain.
+    `demand` is the offered load as a multiple of the capacity. `pressure` is the
+    expected wait as a share of the time that a new call has. As neither estimate is
+    exact, the share that `demand` gives is corrected until the wait settles at
+    `TARGET_PRESSURE`: long enough to keep all slots busy, and short enough for admitted
+    calls to finish in time.
 
     >>> compute_level(demand=0.8, pressure=0.0)
     1.0
@@ -146,13 +145,11 @@
 
 
 def compute_rank(request_id: str) -> float:
-    """Give a request its place between 0 and 1, the same in every process.
+    """Return the rank of a request between 0 and 1, the same in every process.
 
-    Under overload each group admits the calls below its level. Were the calls drawn
-    independently, a query over 20 groups that each admit half of their calls would
-    be whole once in a million times, and the servers would work for answers that
-    nobody can use. With one rank for all its calls, what one group admits the
-    others admit too.
+    Under overload each group admits the calls with a rank below its share. If each
+    group drew its calls independently, hardly any query over many groups would be
+    complete. With one rank for all calls of a query, the groups admit the same queries.
 
     >>> compute_rank("r-1") == compute_rank("r-1")
     True
@@ -163,8 +160,8 @@
 def estimate_wait(n_ahead: int, *, capacity: Capacity, service_time: float) -> float:
     """Estimate how long a new call waits for a slot, in seconds.
 
-    While all slots are busy one of them frees every `service_time / n_slots` on
-    average, and the calls ahead take the first ones.
+    While all slots are busy, one is freed every `service_time / n_slots` on average,
+    and the calls ahead take the first ones.
 
     >>> two_slots = Capacity(n_slots=2, opens_in=0.0)
     >>> estimate_wait(3, capacity=two_slots, service_time=0.010)
@@ -175,9 +172,9 @@
 
 
 def suggest_retry_after(wait: float, spread: float) -> int:
-    """Turn a wait into the milliseconds that a refused caller is told.
+    """Convert a wait in seconds to the milliseconds after which to try again.
 
-    `spread` between 0 and 1 lengthens it by up to a half, so that callers refused
+    `spread` between 0 and 1 lengthens the wait by up to a half, so that callers refused
     together do not return together.
 
     >>> suggest_retry_after(0.2, 0.5)
@@ -188,9 +185,9 @@
 
 
 class Admission:
-    """Decides which calls may wait, from what is offered and how long calls take.
+    """Decides which calls may wait, from the arrival rate and recent latencies.
 
-    `recent` is shared with hedging; until it has seen calls, all may wait.
+    `recent` is shared with hedging. While it is empty, all calls may wait.
     """
 
     __slots__ = ("recent", "arrivals")
@@ -201,16 +198,16 @@
 
     @property
     def needed_time(self) -> float:
-        """The least time left, in seconds, with which a start is useful."""
+        """The seconds that a call needs before its deadline to be worth starting."""
         return self.recent.median or 0.0
 
     def may_wait(
         self, request_id: str, *, n_ahead: int, time_left: float, capacity: Capacity
     ) -> bool:
-        """Tell whether a call may wait behind `n_ahead` others.
+        """Return whether a call may wait behind `n_ahead` others.
 
-        It may if it can finish within `time_left` seconds, and if its request is
-        among those that the group has room for.
+        It may if it can finish within `time_left` seconds and its request is in the
+        admitted share.
         """
         wait = self._estimate_wait(n_ahead, capacity)
         time_to_wait = time_left - self.needed_time
@@ -222,10 +219,10 @@
         return level >= 1.0 or compute_rank(request_id) < level
 
     def estimate_absence(self, n_waiting: int, capacity: Capacity) -> float:
-        """Estimate for how long a refused caller should stay away, in seconds."""
-        # The queue is kept short, so its length alone would call the refused callers
-        # back into the same overload. A second at twice the capacity takes another
-        # second to make up for.
+        """Estimate after how many seconds a refused caller should try again."""
+        # Excess load is added because admission keeps the queue short: the queue's
+        # length alone would bring callers back into the same overload. A second at
+        # twice the capacity takes another second to work off.
         excess = max(0.0, self._measure_demand(capacity) - 1.0)
         return self._estimate_wait(n_waiting, capacity) + excess
 
--- a/src/lavendergap/coordination/arrivals.py
+++ b/src/lavendergap/coordination/arrivals.py
@@ -1,4 +1,4 @@
-"""How much of the time to its goal a request has used up before a host sees it."""
+"""Estimates of the time a request spends outside this host, of that to its goal."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -7,37 +7,40 @@
 from ..state.routes import GreatestOfAll, OneOf, Route
 
 TRIP_SAMPLES = 64
-"""First requests of connections that are remembered. On a host with one of them a
-second that is about a minute, in which the way to its callers does not change."""
+"""First requests of connections whose round trips are kept. At one new connection a
+second that is about a minute, in which network paths rarely change.
+"""
 
 MIN_TRIP_SAMPLES = 4
-"""With fewer of them one connection that waited in a queue would decide."""
+"""With fewer samples, one connection delayed in a queue would decide."""
 
 DEFAULT_TRIP_MS = 6.0
-"""Assumed until it is measured: callers 3 ms away, as far as any that we have met."""
+"""Assumed until enough round trips are measured."""
 
 MAX_SPENT_SHARE = 0.5
-"""Who states less by more than this share of the goal has been refused before, or
-gives its requests less time; neither says anything of the way."""
+"""A request that states less by more than this share of the goal was refused before, or
+its caller gives less time; either way it says nothing about the network.
+"""
 
 MEMORY_S = 30.0
-"""What callers of a route gave their requests is forgotten after one to two times this
-many seconds: they may be other callers by then. Two requests of a route that a host
-gets once in ten seconds come within it."""
+"""The most time that a route's requests stated is kept for one to two times this many
+seconds, as the callers may change. Long enough for two requests of a route that is
+called once in ten seconds.
+"""
 
 MIN_GOAL_SHARE = 0.5
-"""A goal so short that the reserve is most of it keeps this share for the servers."""
+"""The share of a goal that is left to the servers even if the reserve takes more."""
 
 MAX_ROUTES = 256
 MAX_CONNECTIONS = 4_096
-"""More than a host serves at a time; the one that was used longest ago goes."""
+"""More than a host serves at a time; the least recently used one is dropped."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Arrival:
-    """What a request has used up of its goal, and what its answer's way will take.
+    """Time that a request has used up of its goal, and the round trip to its caller.
 
-    In milliseconds. `spent` is 0 where it cannot be told.
+    In milliseconds. `spent_ms` is 0 if it is not known.
     """
 
     spent_ms: float
@@ -45,13 +48,13 @@
 
     @property
     def unseen_ms(self) -> float:
-        """Milliseconds of the caller's wait that no clock of this host shows."""
+        """Milliseconds of the caller's wait that pass outside this host."""
         return self.spent_ms + self.trip_ms
 
 
 @dataclass(slots=True)
 class _MostLeft:
-    """The most that requests of a route stated, in the present and the last period."""
+    """The most time left that requests of a route stated, over two periods."""
 
     since: float
     present_ms: float
@@ -67,16 +70,15 @@
 
 
 class Arrivals:
-    """Learns what callers wait before their requests are read and after the answer.
+    """Estimates the caller's wait before a request is read and after its answer.
 
     A caller counts its wait from before it opens a connection, and states with each
-    request what is left of the time that it gives it. Callers of a route give the same
-    time, so what one states below the most is what it had spent. For the first request
-    of a connection that is the time to open it, one trip there and back.
+    request the time left. Callers of a route give the same time, so the difference from
+    the most that any of them stated is what a request has used up. For the first
+    request of a connection that is the time to open it, one round trip.
 
-    Without it, answers that are held for stragglers until just before the goal reached
-    their callers just after it. At 73 hosts, 3 ms from their callers, a calm day with
-    eight seconds of slow servers was worth 0.79 of all credit, and 0.96 with it.
+    Without the estimate, answers held for stragglers until just before the goal would
+    reach their callers just after it.
 
     >>> arrivals = Arrivals()
     >>> def note(left_ms, port):
@@ -102,13 +104,14 @@
         connection: object,
         now: float,
     ) -> Arrival:
-        """Take a request that states `left_ms`, and tell what it has used up.
+        """Record a request that states `left_ms`, and return what it has used up.
 
-        `connection` is whatever tells connections apart; `now` is in seconds.
+        `connection` is any key that identifies the connection; `now` is in seconds.
         """
         is_first = self._note_connection(connection)
         if not is_first:
-            # Only a request that opened nothing shows the whole time of its route.
+            # The first request's time includes opening the connection, so only later
+            # ones show the whole time that the route's callers give.
             self._note_most(route, left_ms, now)
         known = self._most_left.get(route)
         spent = 0.0 if known is None else max(0.0, known.get() - left_ms)
@@ -119,7 +122,7 @@
         return Arrival(spent_ms=spent, trip_ms=self._get_trip())
 
     def _note_connection(self, connection: object) -> bool:
-        """Tell whether this is a connection's first request."""
+        """Record a request and return whether it is its connection's first."""
         is_first = connection not in self._connections
         self._connections[connection] = None
         self._connections.move_to_end(connection)
@@ -143,16 +146,16 @@
 
 
 def compute_goal(route: Route, arrival: Arrival, *, reserve_ms: float) -> float:
-    """Return the milliseconds after which an answer without stragglers goes out.
+    """Return the milliseconds after which to answer without the stragglers.
 
-    `reserve_ms` is what this host takes from there to the answer's last byte.
+    `reserve_ms` is the time this host needs from then to the last byte of the answer.
     """
     goal_ms = route.goal_ms - arrival.unseen_ms - reserve_ms
     return min(max(goal_ms, MIN_GOAL_SHARE * route.goal_ms), route.timeout_ms)
 
 
 def count_parts(route: Route) -> int:
-    """Return of how many servers' parts an answer of the route is joined."""
+    """Return from how many servers' parts an answer of the route is joined."""
     match route.target:
         case GreatestOfAll(groups=groups):
             return len(groups)
--- a/src/lavendergap/coordination/bodies.py
+++ b/src/lavendergap/coordination/bodies.py
@@ -1,18 +1,18 @@
-"""A bound on the bytes of the answers that are kept for repeats."""
+"""A limit on the bytes of answers that are kept for repeated requests."""
 
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
 from ..state.outcome import Answered, Outcome
 
-# With 20,000 tickets, room for answers of 200 bytes each, at issuer and witness.
+# Room for 20,000 tickets with answers of 200 bytes each, at issuer and witness.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 K = TypeVar("K", bound=Hashable)
 
 
 class KeptBodies(Generic[K]):
-    """Counts the bytes of kept answers and names the oldest ones to let go of.
+    """Counts the bytes of kept answers and selects the oldest ones to drop.
 
     >>> bodies = KeptBodies[int](max_bytes=10)
     >>> bodies.add(1, Answered(body=b"12345678"))
@@ -40,5 +40,5 @@
         return tuple(dropped)
 
     def discard(self, key: K) -> None:
-        """Stop counting what is kept under `key`, if anything."""
+        """Stop counting the answer kept under `key`, if any."""
         self._n_bytes -= self._sizes.pop(key, 0)
--- a/src/lavendergap/coordination/budget.py
+++ b/src/lavendergap/coordination/budget.py
@@ -1,14 +1,13 @@
-"""Budgets that keep extra calls to a small share of the calls that callers made."""
+"""Budgets that limit extra calls to a small share of the callers' calls."""
 
 
 class Budget:
-    """A token bucket filled by calls instead of by time.
+    """A token bucket that is filled mainly by calls.
 
-    Each call earns `share` of a token and each extra attempt spends a whole one, so
-    that an outage, which makes every call want an extra one, adds at most `share`
-    to the load. `burst` tokens are kept at most, which is also what a new bucket
-    starts with. `per_second` tokens come with time as well, so that a group with
-    few calls can still retry.
+    Each call adds `share` of a token and each extra attempt spends a whole one, so that
+    in an outage, when every call needs extra attempts, they add at most `share` to the
+    load. The bucket holds at most `burst` tokens and starts full. `per_second` tokens
+    are added over time, so that a group with few calls can still retry.
 
     >>> budget = Budget(share=0.5, burst=1.0, per_second=0.0)
     >>> budget.spend(now=0.0), budget.spend(now=0.0)
@@ -37,10 +36,10 @@
         self._filled_at: float | None = None
 
     def replace(self, *, share: float, burst: float, per_second: float) -> None:
-        """Act on other terms; what a larger burst adds may be spent at once.
+        """Apply new limits; what a larger burst adds can be spent at once.
 
-        What was spent under the smaller one is within the larger. A burst that grows
-        and shrinks by turns adds no more than its largest value.
+        Tokens spent under a smaller burst count against the larger one. A burst that
+        grows and shrinks repeatedly adds no more than its largest value.
         """
         self.share = share
         self.tokens = min(burst, self.tokens + max(0.0, burst - self._largest_burst))
@@ -54,11 +53,11 @@
         self.tokens = tokens if tokens < self.burst else self.burst
 
     def spend(self, *, now: float) -> bool:
-        """Take a token for one extra attempt; False when there is none."""
+        """Spend a token for one extra attempt; return False if there is none."""
         if self.share <= 0.0:
             return False
         self._fill(now)
-        # Sums of shares such as 0.1 fall short of 1 by rounding.
+        # Sums of shares such as 0.1 may be less than 1 by a rounding error.
         if self.tokens < 1.0 - 1e-9:
             return False
         self.tokens -= 1.0
--- a/src/lavendergap/coordination/calls.py
+++ b/src/lavendergap/coordination/calls.py
@@ -1,7 +1,7 @@
-"""Calls to one group of replicas, and the messages of the scheduler that runs them.
+"""Calls to one group of replicas, and the messages to and from its scheduler.
 
-What happens comes in as `ServerReport` and `AttemptEnded`; what is to be done comes
-out as effects, which the owner of the group carries out in the order given.
+`ServerReport` and `AttemptEnded` are inputs; the effects are outputs, which the owner
+of the group carries out in the order given.
 """
 
 from dataclasses import dataclass
@@ -19,19 +19,19 @@
 class Call:
     """One call to one shard, to be answered by any replica of its group.
 
-    `deadline` is in seconds on the loop's monotonic clock. `version` is the index
-    version that the query is pinned to; 0 means that the call is not tied to one.
-    `call_id` is unique within the scheduler, `request_id` is for the logs.
-    `forward` is set for a request that goes on unchanged. `max_attempts` bounds the
-    servers that it is sent to; 0 leaves that to the scheduler. `is_repeat` says that
-    another host may have sent it already, so that it counts as an extra call.
-    `wanted_by` is the time by which an answer is of most use; 0 where all up to the
-    deadline are alike. Calls of one `kind` take about as long at every server, also
-    of other groups; where it is empty, the group's own calls are the measure. Of
-    calls that wait, those of the lowest `priority` go first. With `ends_with_server` a
-    call under which a server has ended is finished: whoever made it sees all shards of
-    its query, and decides whether another server gets it. Only servers in
-    `data_centres` may run it; None where all may.
+    `call_id` is unique within the scheduler; `request_id` is for the logs. `version` is
+    the index version that the query is pinned to, or 0 for any. `deadline` and
+    `wanted_by` are seconds on the loop's monotonic clock. An answer is most useful by
+    `wanted_by`; 0 means at any time up to the deadline.
+
+    `forward` is set for a request that is forwarded unchanged. `max_attempts` limits
+    the servers that the call is sent to; 0 leaves that to the scheduler. `is_repeat` is
+    set if another host may have sent the call already; it then counts as an extra call.
+    Calls of one `kind` take about as long at every server, also of other groups; if it
+    is empty, the call is compared with the group's own calls. Of waiting calls, those
+    of the lowest `priority` go first. With `ends_with_server`, a call is not retried
+    after its server ended: its sender sees all shards of the query and decides. Only
+    servers in `data_centres` may run the call; None means all.
     """
 
     call_id: int
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerReport:
-    """What a backend server says of itself, in an answer or to a health probe.
+    """State that a backend server reports in an answer or to a health probe.
 
-    `versions` are the index versions that it serves now; empty when it did not say.
+    `versions` are the index versions that it serves now; empty if not reported.
     """
 
     in_use: int
@@ -69,10 +69,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptEnded:
-    """The transport is done with an attempt and its slot may be used again.
+    """The transport has ended an attempt, and its slot is free.
 
-    `elapsed` is the time since the attempt started, in seconds. An attempt that was
-    cancelled ends too, with `Reason.CANCELLED`, and only then frees its slot.
+    `elapsed` is the time since the attempt started, in seconds. A cancelled attempt
+    ends with `Reason.CANCELLED`, and frees its slot only then.
     """
 
     attempt_id: int
@@ -83,10 +83,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartAttempt:
-    """Send the call to the server named, by its name in the settings.
+    """Send the call to `server`, by its name in the settings.
 
-    `fresh_connection` forbids a pooled connection: an earlier attempt found one
-    silent or lost. `why` names the candidates with their load, for the log.
+    With `fresh_connection` a pooled connection must not be used, as an earlier attempt
+    met a silent or lost one. `why` lists the candidates with their load, for the log.
     """
 
     attempt_id: int
@@ -106,10 +106,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FinishCall:
-    """The call has its one and final outcome.
+    """The call has its final outcome.
 
-    `server` gave the outcome and is empty when no server was reached. `n_attempts`
-    counts every attempt that was started, hedges too.
+    `server` is where the outcome is from, empty if no server was reached. `n_attempts`
+    counts all attempts that were started, hedges included.
     """
 
     call: Call
@@ -120,10 +120,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WithholdHedge:
-    """A slow call gets no second attempt for now; told once for each call.
+    """A slow call gets no hedge for now; sent at most once for each call.
 
-    Nothing is to be done but to log it: whoever looks for the cause of a late answer
-    would else see a slow server, and not why no other was asked.
+    It is only logged, so that the log of a late answer shows why no other server was
+    used.
     """
 
     call: Call
--- a/src/lavendergap/coordination/choice.py
+++ b/src/lavendergap/coordination/choice.py
@@ -1,4 +1,4 @@
-"""Which replica gets the next attempt, and how many slots there are to choose from."""
+"""Choice of the replica for an attempt, and the slots available to a group."""
 
 from dataclasses import dataclass
 from random import Random
@@ -7,13 +7,11 @@
 from .admission import Capacity
 from .replicas import NEVER, REPORT_LIFETIME, Replica
 
-# More than any load: a server that failed the call is taken if there is no other.
+# More than any load: a server that failed the call is used only if there is no other.
 LAST_RESORT = 1_000.0
-# What a server in another data centre has to be better by, in slots in use as a share
-# of its slots: as much as all slots of an idle one. So a near server is used while it
-# has a free slot and is not twice as slow as usual; bytes between data centres are
-# paid for, and a free slot is no faster for being in another one. At 0.6 a seventh of
-# all first calls went to another data centre, most of them past a free near slot.
+# Added to the score of a server in another data centre; as much as all slots of an idle
+# server. A near server is used while it has a free slot and is not much slower than
+# usual, as traffic between data centres is paid for.
 REMOTE_PENALTY = 1.0
 
 
@@ -27,12 +25,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Busy:
-    """No replica has a free slot for the call now, but one may yet."""
+    """No replica has a free slot for the call now, but one may have later."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NoneLeft:
-    """No replica can take the call, now or later; `reason` says why."""
+    """No replica can take the call, now or later, for the given reason."""
 
     reason: Reason
 
@@ -55,12 +53,11 @@
 ) -> Choice:
     """Choose the replica for one attempt.
 
-    Servers in `excluded` refused this very call; those in `tried` failed it and are
-    taken only if no other has a free slot. With `data_centre`, servers there are
-    preferred; with `allowed`, only those in these data centres are taken. When
-    failures have ejected every server that could serve, all of them are candidates
-    again: the fault may be on this host's side, and an attempt tells more than waiting
-    does. `why` then says so.
+    Servers in `excluded` refused this call. Those in `tried` failed it and are used
+    only if no other has a free slot. With `data_centre`, servers there are preferred;
+    with `allowed`, only servers in these data centres are used. If every server that
+    could serve the call is ejected, all of them are candidates again, as the fault may
+    be on this host's side; `why` then says so.
     """
     if allowed is not None:
         replicas = [r for r in replicas if r.server.data_centre in allowed]
@@ -69,10 +66,10 @@
     possible = [r for r in serving if r.state != "draining"]
     note = ""
     if not possible and all(r.state == "draining" for r in able):
-        # A health endpoint that wrongly says "draining" on every replica would empty
-        # the group. A server that truly drains refuses, and its answer settles it.
-        # On every replica, those left out for this attempt too: a hedge would else
-        # bring work to the one server that leaves.
+        # Fails open when health endpoints report "draining" on every replica, as they
+        # may be wrong; a server that really drains refuses the call. Replicas excluded
+        # from this attempt count too, so that a hedge is not sent to the one server
+        # that drains.
         possible = [r for r in serving if not r.state_from_answer]
         note = " (all said to drain: failing open)"
     if not possible:
@@ -130,7 +127,7 @@
 
 
 def measure_capacity(replicas: list[Replica], now: float) -> Capacity:
-    """Count the slots that calls can hope for, in use or not."""
+    """Return the slots that calls may use, whether in use or free."""
     usable = [r for r in replicas if r.state != "draining"]
     welcome = [r for r in usable if r.backoff_until <= now]
     if not welcome:
--- a/src/lavendergap/coordination/gate.py
+++ b/src/lavendergap/coordination/gate.py
@@ -1,23 +1,23 @@
-"""Admission of whole queries where callers arrive: few at once, the rest refused."""
+"""Admission of whole queries on a host: an adaptive limit on concurrent queries."""
 
 from collections import deque
 from dataclasses import dataclass
 
 from ..state.outcome import NotRun, Reason, Step
 
-# A query touches every group. If each group refused on its own, at twice the
-# capacity each would refuse another half of the calls and no query would be whole.
-# So queries are admitted as a whole, and the groups' refusals only steer how many.
+# A query has calls to every group. If each group refused calls on its own, few queries
+# would be complete under overload. So whole queries are admitted or refused, and
+# refusals by groups only adjust the limit.
 FIRST_LIMIT = 4.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 10_000.0
 INCREASE = 0.5
 DECREASE = 0.85
-# A median shard that took this share of the deadline has waited in queues. A lower
-# share would take the service time of slow services for a queue.
+# A query whose median shard took more than this share of the deadline has met queues. A
+# lower share would mistake the latency of slow services for queueing.
 SLOW_SHARE = 0.5
-# A query may expect to wait at the gate for this share of its time. With more, it
-# would enter too late, and whoever has to be refused after all is told too late.
+# A query may wait in the queue for this share of its time. With more, it would start
+# too late, and a caller would learn of a refusal too late.
 WAIT_SHARE = 0.25
 FIRST_ELAPSED = 0.02
 ELAPSED_GAIN = 0.1
@@ -32,23 +32,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Waiting:
-    """The query is in the queue; `pop_ready` will name it, or `leave_queue` it goes."""
+    """The query is queued until `pop_ready` returns it or `leave_queue` removes it."""
 
     number: int
 
 
 class Gate:
-    """How many queries of one service run at once from this host.
+    """Limits the queries of one service that run at once on this host.
 
-    The limit grows slowly while queries come back whole and in time, and shrinks
-    when a group refused part of one or its shards were slow in the median, which is
-    the sign of queues and not of one straggler. All hosts do so alone; together they
-    settle where the slots are busy and queues are short, without talking to each
-    other (additive increase, multiplicative decrease).
+    The limit grows slowly while queries are complete and in time. It shrinks when a
+    group refused part of a query, or when the median shard was slow, which is a sign of
+    queues and not of one straggler. Each host adjusts its limit alone; together they
+    converge to busy slots and short queues (additive increase, multiplicative
+    decrease).
 
-    Services of one host share its processor. When that is what is short, all their
-    gates shrink alike and grow in the proportion of their `weight`, so that their
-    shares come to stand as their weights do, whoever has more callers.
+    Services of one host share its processor. If that is the bottleneck, all limits
+    shrink alike and grow in proportion to their `weight`, so that the services' shares
+    approach their weights, whatever their numbers of callers.
 
     >>> gate = Gate()
     >>> gate.enter(now=0.0, left=0.28)
@@ -69,13 +69,14 @@
         self._shrunk_at: float | None = None
 
     def enter(self, *, now: float, left: float) -> Entered | Waiting | NotRun:
-        """Take a query with `left` seconds to its deadline, or refuse it at once."""
+        """Admit or queue a query with `left` seconds to its deadline, or refuse it."""
         n_ahead = len(self._queue) - len(self._gone)
         if n_ahead == 0 and self.n_running < self._get_room():
             self.n_running += 1
             return Entered()
-        # Little's law; counting arrivals instead would forget during a quiet hour
-        # what the slots can do, and refuse the callers who then come all at once.
+        # Little's law, from the limit and the mean time of queries. A measured arrival
+        # rate would drop in a quiet hour, and the next burst of callers would be
+        # refused.
         wait = (n_ahead + 1) * self._elapsed / self._get_room()
         if wait > left * WAIT_SHARE:
             return NotRun(
@@ -89,38 +90,39 @@
         return Waiting(number=self._last_number)
 
     def leave(self, *, now: float, started: float, is_congested: bool) -> None:
-        """Note the end of a query that had entered at `started`."""
+        """Record the end of a query that entered at `started`."""
         was_full = self.n_running >= self._get_room()
         self.n_running -= 1
-        # Also from congested ones: when all are, nothing else tells how long a place
-        # is held, and callers would wait for one that does not come in time.
+        # Congested queries count too: if all are congested, there are no others, and
+        # waits would be underestimated.
         self._elapsed += ELAPSED_GAIN * (now - started - self._elapsed)
         if is_congested:
             self._shrink(now, started)
             return
-        # An unused limit proves nothing about a larger one.
+        # The limit grows only when it was reached; an unused limit says nothing about a
+        # larger one.
         if was_full:
-            # Until the first sign of queues the limit doubles with each round, since
-            # callers come all at once; from then on it feels its way.
+            # Until the first congestion the limit doubles with each round, as callers
+            # may arrive all at once. After it the limit grows slowly.
             step = self.weight * INCREASE / self.limit
             if self._shrunk_at is None:
                 step = 1.0
             self.limit = min(MAX_LIMIT, self.limit + step)
 
     def _shrink(self, now: float, started: float) -> None:
-        # Queries that entered before the last cut tell of the time before it; each
-        # of them would cut again, down to nothing.
+        # Queries that entered before the last cut met the old limit. If each of them
+        # cut it again, one congestion would reduce it to the minimum.
         if self._shrunk_at is not None and started < self._shrunk_at:
             return
         self.limit = max(MIN_LIMIT, self.limit * DECREASE)
         self._shrunk_at = now
 
     def leave_queue(self, number: int) -> None:
-        """Forget a waiting query, whose caller left or whose time is up."""
+        """Remove a waiting query whose caller left or whose time is up."""
         self._gone.add(number)
 
     def pop_ready(self) -> int | None:
-        """Return a waiting query that may start now, counted as running."""
+        """Return a waiting query that may start now and count it as running."""
         while self._queue and self.n_running < self._get_room():
             number = self._queue.popleft()
             if number in self._gone:
@@ -135,7 +137,7 @@
 
 
 def is_slow(times: list[float], *, limit: float) -> bool:
-    """Tell whether the median of the shards' times speaks of queues.
+    """Return whether the median of the shards' times shows queueing.
 
     `times` and `limit` (the query's whole time) are in seconds.
 
--- a/src/lavendergap/coordination/hedging.py
+++ b/src/lavendergap/coordination/hedging.py
@@ -1,57 +1,54 @@
-"""When a second attempt is worth its cost: recent latencies and their quantiles."""
+"""When to send a hedge: recent latencies and their quantiles."""
 
 from collections import deque
 from math import inf
 
 from ..state.settings import Service
 
-# 256 calls see a quantile of 0.95 from 13 of them, and forget a slow spell within
-# seconds at the rates that our users run.
+# Large enough for 13 calls beyond a quantile of 0.95, and small enough that a slow
+# period is forgotten within seconds at usual rates.
 WINDOW = 256
-# Fewer calls than this tell nothing. With them, quartiles bound what the quantile of
-# so few makes of one straggler, and a new owner hedges within its first moments.
+# Fewer calls give no usable quantile. With this many, the quartiles bound the effect of
+# one straggler, and a new owner can hedge soon.
 MIN_SAMPLES = 8
-# Sorting the window for each call would cost more than the rest of the decision.
+# Sorting the window for each call would be too expensive.
 REFRESH_EVERY = 16
-# With a few stragglers more than usual among the last calls, the quantile is the time
-# of a straggler, and hedging would wait for what it is there to avoid. Neither the
-# median nor the third quartile is moved by them. So far beyond these a call is hedged
-# whatever the quantile; of exponential service times 8 in 1,000 are longer.
+# A few more stragglers than usual would raise the quantile to a straggler's latency,
+# and hedges would come too late. The median and the third quartile are robust to them,
+# so a call is hedged this far beyond them whatever the quantile.
 FENCE_DISTANCES = 5.0
 FENCE_MEDIANS = 2.0
-# Kinds that are measured at a time; more than an operator has routes with calls in one
-# minute. Beyond it the one that was used longest ago is measured anew.
+# More than an operator has routes in use at a time. Beyond it the least recently used
+# kind is dropped.
 MAX_KINDS = 256
-# A call that has taken this many medians straggles, whatever the quantile says.
+# A call that has taken this many medians is a straggler, whatever the quantile.
 STRAGGLER_RATIO = 2.0
-# Before this share of the time to its goal has passed, a call with one is not hedged:
-# most of those that are merely slow answer by themselves by then, and from then on a
-# second call has twice the time that it needs.
+# A call with a goal is not hedged before this share of the time to it. Most calls that
+# are merely slow have answered by then, and a hedge still has enough time.
 HEDGE_GOAL_SHARE = 0.35
-# By this share of it a call is hedged, if that is ever to help: a second call has as
-# long as the first has had. With a sixth of the servers slow and hosts busy, the
-# quantile rose to 60 to 90 ms of a goal of 82, and hedges came when nothing was left.
+# A call with a goal is hedged by this share of the time to it. The quantile alone may
+# be so high that a hedge would come too late to help.
 LATEST_HEDGE_SHARE = 0.5
-# The share of the budget that hedges use on average; see docs/design/hedging.md.
+# The share of the budget that ordinary hedges use; see docs/design/hedging.md.
 BUDGET_USE = 0.6
 
 
 def choose_quantile(service: Service) -> float:
-    """Choose the quantile of latency after which a call is hedged.
+    """Return the quantile of latency after which a call is hedged.
 
-    A quantile of 0.95 and a budget of 0.05 would spend the budget to the last token
-    on calls that are merely slower than most, and a real straggler would find it
-    empty. So the delay is long enough that ordinary hedges leave some of it over.
+    With a quantile of 0.95 and a budget of 0.05, calls that are slightly slower than
+    most would use the whole budget and leave nothing for stragglers. So the quantile is
+    high enough that ordinary hedges leave some of the budget.
     """
     return max(service.hedge_after_quantile, 1.0 - BUDGET_USE * service.hedge_budget)
 
 
 class RecentLatencies:
-    """The latencies of the last calls of a group, in seconds.
+    """The latencies of recent calls, in seconds.
 
-    A cancelled attempt counts with the time it had taken so far. Without it the
-    stragglers that hedging cuts short would be missing from the window, the quantile
-    would sink towards the median, and hedging would feed itself.
+    A cancelled attempt counts with the time it had taken so far. Otherwise the
+    stragglers that hedges cut short would be missing, the quantile would sink towards
+    the median, and there would be ever more hedges.
 
     >>> recent = RecentLatencies(quantile=0.9)
     >>> recent.delay is None
@@ -76,7 +73,7 @@
         return len(self._samples)
 
     def add(self, latency: float) -> None:
-        """Count one attempt's latency; the quantiles follow after 8, then every 16."""
+        """Record one latency; quantiles are updated after 8, then after every 16."""
         self._samples.append(latency)
         self._n_new += 1
         if self._n_new >= REFRESH_EVERY:
@@ -96,10 +93,10 @@
 
 
 def choose_hedge_delay(recent: RecentLatencies, *, left: float) -> float:
-    """Return how long an attempt may take, with `left` seconds to its call's goal.
+    """Return the seconds after which to hedge, `left` seconds before the goal.
 
-    Without a goal (`left` of 0 or less) the latencies decide alone, and nothing is
-    hedged while they are unknown.
+    `left` is counted from the start of the attempt. Without a goal (0 or less) only the
+    latencies decide, and nothing is hedged while they are unknown.
 
     >>> recent = RecentLatencies(quantile=0.9)
     >>> choose_hedge_delay(recent, left=0.08), choose_hedge_delay(recent, left=0.0)
@@ -113,21 +110,20 @@
         return inf if recent.delay is None else recent.delay
     latest = LATEST_HEDGE_SHARE * left
     if recent.delay is None:
-        # Among 77 hosts each sees a lookup of one record in 12 s. Waiting for eight of
-        # them, none was hedged, and a slow server held some to the end.
+        # Where each host rarely sees such a call, waiting for enough latencies would
+        # mean that none is hedged.
         return latest
-    # Where the goal is shorter than two calls, no hedge is of help to most.
+    # With a goal of less than two calls, a hedge would help few of them.
     latest = max(latest, STRAGGLER_RATIO * (recent.median or 0.0))
     return min(latest, max(recent.delay, HEDGE_GOAL_SHARE * left))
 
 
 class KindLatencies:
-    """The latencies of each kind of call, of all groups of this host together.
+    """The latencies of each kind of call, over all groups of this host.
 
-    A library's shards are cut alike, so that what one of them takes tells what the
-    others will. A group by itself sees few calls where there are many groups, and
-    short ones beside long ones: a quick look of 4 ms was held against the quantile of
-    searches of 11 ms, and hedged after 20 to 30 ms of the 33 that it had.
+    Shards are of similar size, so the latencies of one hold for the others. A single
+    group may see too few calls, and short calls next to long ones: compared with the
+    quantile of long calls, a short one would be hedged too late.
 
     >>> kinds = KindLatencies()
     >>> kinds.get("quick look", quantile=0.9) is kinds.get("quick look", quantile=0.9)
@@ -140,7 +136,7 @@
         self._kinds: dict[str, RecentLatencies] = {}
 
     def get(self, kind: str, *, quantile: float) -> RecentLatencies:
-        """Return the latencies of a kind, and note that it is in use."""
+        """Return the latencies of a kind and mark it as the last used."""
         recent = self._kinds.pop(kind, None)
         if recent is None:
             recent = RecentLatencies(quantile=quantile)
@@ -152,6 +148,6 @@
 
 
 def _compute_fence(median: float, third_quartile: float) -> float:
-    """Return the time beyond which a call is a straggler, whatever the quantile."""
+    """Return the latency beyond which a call is a straggler."""
     fence = third_quartile + FENCE_DISTANCES * (third_quartile - median)
     return max(fence, FENCE_MEDIANS * median)
--- a/src/lavendergap/coordination/probing.py
+++ b/src/lavendergap/coordination/probing.py
@@ -1,4 +1,4 @@
-"""Probes that wait for their answers, whose turn it is, and pings for others."""
+"""Probes that wait for their answers, the order of probing, and relayed pings."""
 
 from dataclasses import dataclass
 from random import Random
@@ -6,15 +6,15 @@
 from ..state.settings import Address
 
 MAX_RELAYS = 256
-"""Pings for other hosts that may wait at once."""
+"""Relayed pings that may wait for an answer at once."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Probe:
-    """A ping that waits for its answer; `name` is empty when only a hint is tried.
+    """A ping that waits for its answer; `name` is empty if the host is unknown.
 
-    `incarnation` is that of the process which was probed: silence proves nothing
-    about one that replaced it meanwhile.
+    `incarnation` is that of the probed process: silence does not count against a
+    process that has replaced it.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 
 class Probes:
-    """The probes and relays of one host under one row of sequence numbers.
+    """The probes and relayed pings of one host, numbered by one sequence.
 
     >>> probes = Probes(interval_s=1.0, timeout_s=0.3)
     >>> address = Address(ip="127.0.0.1", port=8101)
@@ -56,7 +56,7 @@
         self._turns: list[str] = []
 
     def replace_timing(self, *, interval_s: float, timeout_s: float) -> None:
-        """Take other times; the probes under way keep theirs."""
+        """Change the timing of new probes; those under way keep theirs."""
         self._interval_s = interval_s
         self._timeout_s = timeout_s
 
@@ -76,19 +76,19 @@
         return self._sequence
 
     def finish(self, sequence: int, name: str) -> Probe | None:
-        """Return the probe that an answer of `name` settles, or None."""
+        """Remove and return the probe that an answer from `name` completes, or None."""
         probe = self._waiting.get(sequence)
         if probe is None or probe.name not in ("", name):
             return None
         return self._waiting.pop(sequence)
 
     def take_failed(self, now: float) -> list[Probe]:
-        """Return and forget the probes whose time is over."""
+        """Remove and return the probes that have timed out."""
         failed = [s for s, probe in self._waiting.items() if now >= probe.fails_at]
         return [self._waiting.pop(sequence) for sequence in failed]
 
     def take_silent(self, now: float) -> list[tuple[int, Probe]]:
-        """Return the probes that others should try, each once."""
+        """Return the unanswered probes that other hosts should try, each once."""
         silent = [
             (sequence, probe)
             for sequence, probe in self._waiting.items()
@@ -99,16 +99,16 @@
         return silent
 
     def is_trying(self, address: Address) -> bool:
-        """Whether a probe to an address waits for its answer."""
+        """Return whether a probe to an address waits for its answer."""
         return any(probe.address == address for probe in self._waiting.values())
 
     def clear(self) -> None:
-        """Forget all that waits, as after a pause."""
+        """Drop all waiting probes and relays, as after a pause of the process."""
         self._waiting.clear()
         self._relays.clear()
 
     def next_due(self) -> float:
-        """Return when the next probe wants attention, infinity when none does."""
+        """Return when the next probe is due for action; infinity if none is."""
         return min(
             (
                 probe.fails_at if probe.asked_others else probe.ask_others_at
@@ -135,18 +135,18 @@
         return self._sequence
 
     def finish_relay(self, sequence: int) -> Relay | None:
-        """Return for whom an answered ping was sent, or None."""
+        """Remove and return the relay that an answered ping belongs to, or None."""
         return self._relays.pop(sequence, None)
 
     def add_turn(self, name: str, random: Random) -> None:
-        """Give a new member its turn at a random place of this round."""
+        """Insert a new member at a random place of this round."""
         self._turns.insert(random.randint(0, len(self._turns)), name)
 
     def fill_turns(self, names: list[str], random: Random) -> None:
-        """Begin a round: each is probed once before any is probed again."""
+        """Start a round, in which each member is probed once, in random order."""
         self._turns = names
         random.shuffle(self._turns)
 
     def take_turn(self) -> str | None:
-        """Return whose turn it is, or None at the end of the round."""
+        """Return the next member of the round, or None at its end."""
         return self._turns.pop() if self._turns else None
--- a/src/lavendergap/coordination/progress.py
+++ b/src/lavendergap/coordination/progress.py
@@ -1,4 +1,4 @@
-"""What the scheduler remembers of a call under way and of its attempts."""
+"""State of a call and of its attempts in the scheduler."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 class Attempt:
     """An attempt in flight; it holds a slot of `replica` until the transport ends it.
 
-    `progress` is None once the call is finished and only the slot is outstanding.
+    `progress` is None once the call is finished and only the slot is still held.
     """
 
     __slots__ = (
@@ -48,10 +48,11 @@
 class Progress:
     """A call that is queued or running.
 
-    `unknown` is the first outcome after which the call may have run: from then on it
-    can never be finished as "not run". `refusal` is the last proof that it has not.
-    `may_hedge` is asked before each hedge. `excluded` and `tried` hold the records of
-    processes and not names: a server that starts again has refused and failed nothing.
+    `unknown` is the first outcome with which the call may have run; once it is set, the
+    call never ends as "not run". `refusal` is the last outcome that proves an attempt
+    has not run. `may_hedge` is called before each hedge. `excluded` and `tried` hold
+    `Replica` objects and not names, as a restarted server has refused and failed
+    nothing.
     """
 
     __slots__ = (
@@ -88,7 +89,7 @@
         self.is_hedge_withheld = False
 
     def note_failure(self, outcome: NotRun | Unknown, replica: Replica) -> None:
-        """Remember a failed attempt, and which servers the next should not use."""
+        """Record a failed attempt and the servers that the next should avoid."""
         self.server = replica.server.name
         match outcome:
             case NotRun():
@@ -100,14 +101,14 @@
                     self.fresh = True
 
     def _note_refusal(self, outcome: NotRun, replica: Replica) -> None:
-        # "Version gone" outlasts later refusals: it tells the coordinator to start
-        # again at another version, which the other reasons would hide.
+        # "Version gone" is kept over later refusals, as it makes the coordinator start
+        # again at another version.
         if self.refusal is None or self.refusal.reason is not Reason.VERSION_GONE:
             self.refusal = outcome
-        # A server that sheds is kept out by its backoff, for as long as it asked.
+        # A server that sheds load is avoided by its backoff, for as long as it asked.
         if outcome.reason is not Reason.SHED:
             self.excluded |= {replica}
 
     def get_failure(self) -> NotRun | Unknown | None:
-        """Return the outcome of the attempts so far: "unknown" if any may have run."""
+        """Return the outcome so far: "unknown" if any attempt may have run."""
         return self.unknown or self.refusal
--- a/src/lavendergap/coordination/replicas.py
+++ b/src/lavendergap/coordination/replicas.py
@@ -1,4 +1,4 @@
-"""What an owner knows of each replica of a group, and for how long it believes it."""
+"""State that an owner keeps of each replica of a group, and how long it is valid."""
 
 from collections.abc import Callable
 from math import exp2
@@ -9,53 +9,52 @@
 from .calls import ServerReport
 from .warmup import WarmupLimit
 
-# A backend server that was just started, or is back after failures, has cold caches:
-# with all its slots filled at once, its first answers would all be late together.
+# A server that was started or has recovered has cold caches. If all its slots were
+# filled at once, its first answers would all be late.
 SLOW_START = 3.0
-# Twice the pause of a garbage collection; short enough to try again within a
-# query's deadline when the failure was a blip.
+# Longer than a pause for garbage collection, and short enough for another attempt
+# within a query's deadline.
 FIRST_EJECTION = 0.1
 LONGEST_EJECTION = 10.0
-# A server that names a longer time is asked again after this one all the same: a
-# wrong `Retry-After` of an hour must not take a replica away for an hour.
+# Upper bound on a server's `Retry-After`, so that a wrong value of an hour does not
+# remove a replica for an hour.
 LONGEST_BACKOFF = 5.0
-# For servers that shed without saying for how long.
+# For servers that shed load without a `Retry-After`.
 DEFAULT_BACKOFF = 0.05
-# A report is about one moment; after this time it says nothing of the load.
+# A load report describes one moment and is ignored once it is older.
 REPORT_LIFETIME = 1.0
-# How long answers outweigh what a health endpoint says to the contrary.
+# How long state from an answer takes precedence over the health endpoint.
 ANSWER_LIFETIME = 5.0
-# A server that said in an answer that it drains is tried again after this time if
-# its health endpoint has said "serving" throughout: the drain was called off. Much
-# longer than any drain, so that a lying endpoint brings a leaving server no work.
+# A server that reported in an answer that it drains is used again after this time if
+# its health endpoint has reported "serving" throughout: the drain was called off. Much
+# longer than a drain takes, so that a wrong health endpoint does not bring calls to a
+# server that is shutting down.
 DRAIN_MEMORY = 60.0
-# An estimate of slowness is worth half after this time without an answer, so that a
-# replica that was slow once is tried again. In a group that is asked once a second, a
-# server that stays slow was tried again with every other call at 2 s.
+# Slowness counts half after this time without an answer, so that a replica that was
+# slow is tried again.
 LATENCY_HALF_LIFE = 4.0
+# Least weight of a new answer in the moving average of slowness.
 LATENCY_GAIN = 0.125
-# What was known this many seconds ago weighs as much as a new answer. A group of many
-# gets a call a second: at an eighth for each answer it took eight calls to turn from a
-# server that is slow.
+# A new answer weighs as much as the average if that is this old. With few calls a fixed
+# weight would take too long to detect a slow server.
 GAIN_HALF_LIFE = 0.5
-# Beyond so many half-lives it is worth nothing. However faint, it would else decide
-# between idle replicas for ever, and one that was slow once would never be tried.
+# Slowness is ignored after this many half-lives. However small, it would otherwise
+# always decide between idle replicas, and a slow one would not be tried again.
 LATENCY_MEMORY = 4
-# A single answer speaks for at most this many times what a fast one takes. One that
-# pauses for a moment would look twice as slow for seconds after one long answer; one
-# that is slow shows it in all of them.
+# One answer counts as at most this many times the fastest replica's slowness, so that
+# one pause does not mark a server as slow for seconds.
 LONGEST_SAMPLE = 4.0
-# How much a replica's latency may speak for or against it: without bounds one slow
-# answer would outweigh any load on the others.
+# Bounds on the effect of latency on a score, so that one slow answer does not outweigh
+# any load on the other replicas.
 FASTEST_RATIO = 0.5
-# Up to this ratio a replica is as fast as the fastest. The least difference would else
-# decide between idle ones, and a server that is back from a drain would get nothing
-# for as long as its first answers are remembered.
+# Up to this ratio a replica counts as fast as the fastest. Otherwise the smallest
+# difference would decide between idle replicas, and a server that is back from a drain
+# would get no calls while its slow first answers are remembered.
 SIMILAR_RATIO = 1.25
 SLOWEST_RATIO = 4.0
-# How much of an ejection one failure is worth; at 1 the server is ejected. A refused
-# connection is beyond doubt. A lost or silent connection says as much of the
-# connection as of the server, unless it was a fresh one.
+# How much each failure counts towards an ejection, which happens at 1. A lost or silent
+# connection may be the connection's fault, so it counts half, unless the connection was
+# new. A refused connection is certainly the server's.
 BLAME = {
     Reason.REFUSED_CONNECTION: 1.0,
     Reason.SERVER_ENDED: 1.0,
@@ -70,11 +69,11 @@
 
 
 class Replica:
-    """One backend server as this owner sees it.
+    """State of one backend server as this owner knows it.
 
-    Own calls in flight are known for certain. All else is what the server said or
-    how it behaved, and is believed for a time that fits its source: answers before
-    health endpoints, which may lag or mislead.
+    Only the owner's calls in flight are exact. All else comes from the server's reports
+    and behaviour, and is valid for a time that depends on its source. Answers take
+    precedence over health endpoints, which may be late or wrong.
     """
 
     __slots__ = (
@@ -129,9 +128,9 @@
         self.foreign_at = -NEVER
 
     def limit(self, now: float) -> int:
-        """Count the slots that may be in use now: few in slow start, then all.
+        """Return how many slots may be in use now; during slow start a part of them.
 
-        0 while the server is cold and this host has sent it all that it may.
+        Returns 0 while the server is cold and this host has sent all it may for now.
         """
         cold_limit = self.server.cold_limit
         if cold_limit is not None and self._warmup.count_left(cold_limit, now) <= 0:
@@ -145,16 +144,16 @@
         return 1 + int((slots - 1) * since / SLOW_START)
 
     def note_start(self, now: float) -> None:
-        """Count an attempt that starts."""
+        """Record that an attempt starts."""
         self.in_flight += 1
         if self.server.cold_limit is not None:
             self._warmup.note_sent(now)
 
     def may_serve(self, version: int) -> bool:
-        """Tell whether the server may serve an index version.
+        """Return whether the server may serve an index version.
 
-        A version newer than all it named may have come since; an older one that it
-        does not name is gone and does not come back.
+        A version newer than all that the server reported may have been loaded since. An
+        older one that it did not report has been dropped for good.
         """
         versions = self.versions
         if version == 0 or not versions or version in versions:
@@ -162,11 +161,11 @@
         return version > max(versions)
 
     def score(self, now: float, typical: float) -> float:
-        """Estimate what one more call would meet; the lowest is the best replica.
+        """Return the expected cost of one more call; the lowest score is the best.
 
-        The load is own calls in flight plus calls of others that the last report
-        showed, which fade as the report grows old. It is weighed by how slow the
-        server has been against `typical`, the slowness of the fastest replica.
+        The load is the owner's calls in flight plus other owners' calls from the last
+        report, which count less as the report ages. It is weighted by the slowness of
+        the server relative to `typical`, the slowness of the fastest replica.
         """
         load = self.in_flight + 1.0
         age = now - self.foreign_at
@@ -198,10 +197,10 @@
         dice: Random,
         typical: float = 0.0,
     ) -> None:
-        """Learn from how an attempt ended.
+        """Update the state from the end of an attempt.
 
-        `elapsed` is a multiple of what calls of its kind take in the median, and
-        `typical` the slowness of the fastest replica, in the same unit.
+        `elapsed` is in multiples of the median of the call's kind. `typical` is the
+        slowness of the fastest replica in the same unit.
         """
         if typical > 0.0:
             elapsed = min(elapsed, LONGEST_SAMPLE * typical)
@@ -212,11 +211,9 @@
                 wait = min(LONGEST_BACKOFF, ms / 1000) if ms > 0 else DEFAULT_BACKOFF
                 self.backoff_until = max(self.backoff_until, now + wait)
             case NotRun(reason=Reason.NO_REPLICA):
-                # Another server has its address and refused the call; this one is gone,
-                # whatever the registry still says. Each query would go on calling
-                # there, beside its own call to the server that has moved in: an owner
-                # of a lapsed entry sent 90 such calls in 10 s, over the extra calls
-                # that are allowed for the other server's group.
+                # Another server has taken over the address, and the registry is not up
+                # to date yet. Further calls there would add load to the new server
+                # beyond its group's budget of extra calls.
                 self._set_state("draining", from_answer=True, now=now)
             case Unknown(reason=Reason.CANCELLED):
                 self._note_at_least(elapsed, now)
@@ -233,7 +230,7 @@
         self.blame = 0.0
         self.is_on_trial = False
         if self.n_ejections:
-            # The failures were real enough to start over gently, not to wait longer.
+            # The answer ends the ejection early, but the server still starts slowly.
             if now < self.ejected_until or self.ramp_from < self.ejected_until:
                 self.ramp_from = now
                 self.ejected_until = now
@@ -241,54 +238,55 @@
                 self.n_ejections = 0
 
     def _note_at_least(self, elapsed: float, now: float) -> None:
-        # A server whose attempts are all cut short would otherwise look as fast as
-        # its last answer, and go on getting calls that hedging has to save.
+        # A cancelled attempt took at least this long. If it were ignored, a server
+        # whose attempts are all cancelled would keep the slowness of its last answer
+        # and go on getting calls that need a hedge.
         if elapsed > self.slowness:
             self.slowness += (elapsed - self.slowness) * self._get_gain(now)
             self.slowness_at = now
 
     def _get_gain(self, now: float) -> float:
-        """Return the weight of a new answer against all before it."""
+        """Return the weight of a new answer in the moving average."""
         age = (now - self.slowness_at) / GAIN_HALF_LIFE
         return max(LATENCY_GAIN, 1.0 - exp2(-age))
 
     def add_blame(self, blame: float, *, now: float, dice: Random) -> None:
-        """Count a failure, and eject the server for a growing time at a full one."""
+        """Count a failure; at a total of 1, eject the server for a growing time."""
         if blame <= 0.0 or now < self.ejected_until:
             return
         self.blame += blame
         if self.blame < 1.0 and not self.is_on_trial:
             return
         wait = min(LONGEST_EJECTION, FIRST_EJECTION * 2**self.n_ejections)
-        # Owners that saw one failure together should not come back together.
+        # Random, so that owners that saw the same failure do not return together.
         self.ejected_until = now + wait * dice.uniform(0.8, 1.2)
         self.ramp_from = self.ejected_until
         self.n_ejections = min(self.n_ejections + 1, 10)
         self.blame = 0.0
-        # Back from here it gets one call at a time, and the first failure ejects it
-        # again: a server that hangs would else cost several late calls each time.
+        # After the ejection the server gets one call at a time, and the first failure
+        # ejects it again, so that a hanging server costs one late call each time.
         self.is_on_trial = True
 
     def note_answer(
         self, report: ServerReport, *, started: float, own: int, now: float
     ) -> None:
-        """Take in the report of an answer to an attempt that started at `started`.
+        """Record the report in an answer to an attempt that started at `started`.
 
-        `own` counts the own calls in flight when the report was made.
+        `own` is the number of the owner's calls in flight when the report was made.
         """
         self._note_load(report, own=own, now=now)
         if report.versions:
             self.versions = report.versions
             self.versions_at = now
             self.versions_from_answer = True
-        # Answers may cross: one to an attempt from before the drain was seen may
-        # have left the server before it began to drain.
+        # Answers may arrive out of order: this one may have been sent before the server
+        # began to drain.
         if self.state == "draining" and started <= self.state_at:
             return
         self._set_state(report.state, from_answer=True, now=now)
 
     def note_health(self, report: ServerReport, *, now: float) -> None:
-        """Take in a health probe: it may count against the server, never for it."""
+        """Record a health report; recent answers take precedence over it."""
         if report.versions and not self._has_answered_since(now):
             self.versions = report.versions
             self.versions_at = now
@@ -303,13 +301,13 @@
             self._set_state("serving", from_answer=False, now=now)
 
     def note_no_health(self, *, now: float, dice: Random) -> None:
-        """Take in that a health probe had no answer."""
+        """Record a health probe without an answer."""
         self.health_left_serving = True
         self.add_blame(MISSED_PROBE_BLAME, now=now, dice=dice)
 
     def _note_worse_health(self, report: ServerReport, now: float) -> None:
         if report.state == "draining" or self.state == "draining":
-            # After a drain, "starting" is a new process: slow start, not draining.
+            # "starting" after a drain means a new process, which gets a slow start.
             self._set_state(report.state, from_answer=False, now=now)
         elif not (self.state_from_answer and now - self.state_at < ANSWER_LIFETIME):
             self._set_state(report.state, from_answer=False, now=now)
@@ -319,13 +317,13 @@
             return False
         if not self.state_from_answer or self.health_left_serving:
             return True
-        # Nothing but "serving" from the endpoint although an answer said otherwise:
-        # it lags or lies, and is believed only when the answer is long past.
+        # The health endpoint has only reported "serving" although an answer differed,
+        # so it is late or wrong. It takes effect only once the answer has expired.
         memory = DRAIN_MEMORY if self.state == "draining" else ANSWER_LIFETIME
         return now - self.state_at >= memory
 
     def rejoin(self, now: float) -> None:
-        """Start over with a server that the settings left out for a while."""
+        """Reset the state of a server that is back in the settings."""
         self._set_state("serving", from_answer=False, now=now)
         self.ramp_from = now
         self.backoff_until = -NEVER
@@ -335,7 +333,7 @@
         self.is_on_trial = False
 
     def get_opening(self, now: float) -> float:
-        """Return the next time at which the server may take more than now."""
+        """Return the next time at which the server may take more calls than now."""
         closed_until = max(self.backoff_until, self.ejected_until)
         if closed_until > now:
             return closed_until
--- a/src/lavendergap/coordination/reserve.py
+++ b/src/lavendergap/coordination/reserve.py
@@ -1,46 +1,45 @@
-"""How long before the goal a host has to stop waiting, from its own answers."""
+"""Estimate of the time a host needs before the goal to join and write an answer."""
 
 from collections import deque
 from statistics import quantiles
 
 ANSWER_RESERVE_MS = 9.0
 PART_RESERVE_MS = 0.07
-"""Milliseconds kept for waking up, joining and writing an answer, and the further ones
-for each part that it may hold.
+"""Milliseconds kept for waking up, joining and writing an answer, and for each part of
+it.
 
-With 20 to 30 parts, 6 and 10 ms in all were not told apart on six days. One play each:
-with 135, callers of 73 hosts, half of them of half a core, got 0.72 of all credit in
-calm seconds with 10 ms, 0.93 with 18 and 0.96 with 26, and 0.31, 0.67 and 0.57 while a
-sixth of the servers was slow.
+More parts take longer to join and make a longer answer. If the reserve is too short,
+answers miss the goal; if it is too long, stragglers are given up early.
 """
 
 USUAL_CORES = 0.5
-"""The host for which the above holds; a weaker one takes longer in proportion. A
-stronger one keeps as much: with half of it, hosts of one core lost 0.013 +- 0.008 of
-the credit of quick looks on two days of trouble, two seeds each, and won nothing."""
+"""The cores of a host for which the reserve above holds. A weaker host needs more in
+proportion; a stronger one keeps as much.
+"""
 
 SAMPLES = 16
-"""Answers that are remembered: on a host with one search a second, some ten seconds."""
+"""Answers that are remembered; some ten seconds at one or two a second."""
 
 MIN_SAMPLES = 4
-"""With fewer of them, one answer that met a busy moment would decide."""
+"""With fewer samples, one answer at a busy moment would decide."""
 
 MEMORY_S = 30.0
-"""Older answers say nothing: what made the host slow, its neighbours or a burst of
-callers, has passed by then."""
+"""Older answers are ignored: what made the host slow then, other processes or a burst
+of callers, has passed.
+"""
 
 QUARTILE = 2
-"""The third quartile: three of four answers that wait for stragglers are to be in time,
-and a longer reserve would give up shards of all of them for the slowest."""
+"""Index of the third quartile: three of four answers that wait for stragglers should be
+in time. A higher quantile would give up stragglers of all answers for the slowest.
+"""
 
 
 class AnswerReserve:
-    """Learns what it takes from the end of the wait for stragglers to the last byte.
+    """Measures the time from the end of the wait for stragglers to the last byte.
 
-    That is the host's own: joining, writing, and whatever else it does at the moment.
-    Where little is known yet, it is taken to be what such an answer takes a host of
-    its strength: with one time for all, hosts of an eighth of a core answered 54 of 57
-    searches after their goal, of which most hosts get one in some seconds.
+    The time is spent on this host: joining, writing, and whatever else runs there.
+    While there are too few samples, it is estimated from the number of parts and the
+    host's cores, as most hosts see such answers rarely.
 
     >>> reserve = AnswerReserve(cores=0.5)
     >>> round(reserve.get_ms(n_parts=50, now=0.0), 1)
@@ -58,7 +57,7 @@
         self._learned_at = float("-inf")
 
     def note(self, *, took_ms: float, now: float) -> None:
-        """Take what one joined answer took, in milliseconds; `now` is in seconds."""
+        """Record the time one joined answer took, in milliseconds; `now` in seconds."""
         self._samples.append((now, took_ms))
         recent = [took for at, took in self._samples if now - at <= MEMORY_S]
         self._learned_at = now
@@ -70,7 +69,7 @@
     def get_ms(self, *, n_parts: int, now: float) -> float:
         """Return the reserve for an answer of `n_parts`, in milliseconds.
 
-        What was learned is of answers that are joined: one server's own needs less.
+        The samples are of joined answers; an answer of one server needs less.
         """
         usual = ANSWER_RESERVE_MS + PART_RESERVE_MS * n_parts
         expected = usual * self._weakness
--- a/src/lavendergap/coordination/routing.py
+++ b/src/lavendergap/coordination/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which group of the route answers it."""
+"""Routes of requests by host name and path, and the choice of a route's group."""
 
 from random import Random
 
@@ -6,10 +6,10 @@
 
 
 class RouteIndex:
-    """The routes of one table, found by host name and path.
+    """Index of the routes of one table, by host name and path.
 
-    The longest prefix that begins the path wins. A path has few slashes, so looking
-    up each of its beginnings costs the same with ten routes and with a thousand.
+    The route with the longest matching prefix is used. A lookup tries each beginning of
+    the path that ends in a slash, so its cost does not grow with the number of routes.
 
     >>> from lavendergap.state.routes import WeightedGroup
     >>> def make(name: str, prefix: str) -> Route:
@@ -31,7 +31,7 @@
         }
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None when there is none."""
+        """Return the route of a request, or None if there is none."""
         host = host.lower()
         found = self._find(host, path)
         name, colon, port = host.rpartition(":")
@@ -50,7 +50,7 @@
 
 
 def draw_group(target: OneOf, dice: Random) -> str | None:
-    """Draw a group in the proportion of the weights; None where all weigh nothing."""
+    """Choose a group at random by weight; return None if all weights are 0."""
     total = sum(each.weight for each in target.groups)
     if total <= 0.0:
         return None
--- a/src/lavendergap/coordination/scheduler.py
+++ b/src/lavendergap/coordination/scheduler.py
@@ -1,4 +1,4 @@
-"""The owner's decisions for one group of replicas: dispatch, queue, retry, hedge."""
+"""Scheduler of the calls to one group: dispatch, queueing, retries and hedges."""
 
 from collections.abc import Callable
 from itertools import count
@@ -41,24 +41,23 @@
 from .summary import GroupSummary, summarize_server, to_ms
 from .timers import CallTimers
 
-# A call is tried at most this often whatever the budgets hold, so that one call that
-# breaks each server it meets cannot go round the group.
+# Bounds the attempts of one call whatever the budgets allow, so that a call that
+# crashes its server cannot crash the whole group.
 MAX_ATTEMPTS = 4
 SHORTEST_HEDGE_DELAY = 0.001
-# Where all calls take about as long, the quantile is hardly above the median, and
-# ordinary calls just beyond it would take every token. These are for attempts that
-# are slow by any measure; the others get what is above the reserve.
+# Hedge tokens kept for stragglers. Where latencies hardly vary, the quantile is close
+# to the median, and ordinary calls just beyond it would spend every token.
 HEDGE_RESERVE = 3.0
-# How often in one delay a hedge that found no free slot looks for one again.
+# How often within one hedge delay a hedge without a free slot is tried again.
 LOOKS_PER_DELAY = 8
 MAX_HEDGES = 2
-# A call that has taken this many times the median is no ordinary one any more: of
-# exponential times one in twenty is as long, and then only the next choice is moved.
+# A server that has held a call for this many medians is taken to be stalled. A false
+# alarm only moves the next choice of a replica.
 STALL_RATIO = 3.0
-# Below this many seconds the wait is the process's own and says nothing of a server.
+# Shorter waits may come from this process and not from a server.
 SHORTEST_STALL = 0.01
-# How many waiting calls that no free replica can take are passed over in one go, so
-# that a long queue for one version costs a bounded time at each event.
+# How many waiting calls without a free replica are skipped per dispatch, so that a long
+# queue for one version costs a bounded time at each event.
 MAX_PASSED_OVER = 8
 
 
@@ -73,12 +72,12 @@
 class GroupScheduler:
     """Runs the calls to one group on its replicas, within their slots.
 
-    Every method takes the present time in seconds and returns what is to be done, in
-    order. Each submitted call gets exactly one `FinishCall`; each `StartAttempt` is
-    owed exactly one `AttemptEnded`, also after `CancelAttempt`, and holds a slot of
-    its server until then. `next_wake` tells when to call `advance` if nothing else
-    happens before. Attempt ids count from 1 within the scheduler. Times are seconds
-    of one monotonic clock, a call's deadline among them.
+    Every method takes the present time and returns the effects to carry out, in order.
+    Each submitted call gets exactly one `FinishCall`. Each `StartAttempt` has to be
+    followed by exactly one `AttemptEnded`, also after `CancelAttempt`, and holds a slot
+    of its server until then. `next_wake` returns when to call `advance` if nothing else
+    happens before. Attempt ids count from 1 within the scheduler. All times, a call's
+    deadline among them, are seconds of one monotonic clock.
 
     >>> from lavendergap.state.settings import Address, Server, WaitForCoverage
     >>> server = Server(
@@ -128,7 +127,8 @@
         self._calls: dict[int, Progress] = {}
         self._attempts: dict[int, Attempt] = {}
         self._waiting = WaitingCalls()
-        # Stragglers whose hedge waits for a free slot; cleaned as slots come free.
+        # Stragglers whose hedge waits for a free slot. Finished ones are removed when a
+        # slot is freed.
         self._blocked: dict[int, Progress] = {}
         self._timers = CallTimers()
         self._attempt_ids = count(1)
@@ -154,23 +154,22 @@
         self._n_budget_denials = 0
 
     def _make_replica(self, server: Server, ramp_from: float = -NEVER) -> Replica:
-        # One host warms a server up, and it stands in the server's data centre.
+        # Each data centre has one host that warms up its cold servers.
         is_near = server.data_centre == self.data_centre
         may_warm = self._may_warm if is_near else _never
         return Replica(server=server, ramp_from=ramp_from, may_warm=may_warm)
 
-    # What happens.
+    # Events.
 
     def submit(
         self, call: Call, *, now: float, may_hedge: Callable[[], bool] = _always
     ) -> list[Effect]:
-        """Take a call: start it, let it wait for a slot, or refuse it at once.
+        """Start a call, queue it for a slot, or refuse it.
 
-        A call that cannot finish before its deadline, given the calls ahead of it
-        and the time that recent ones took, is refused as not run: an answer that
-        comes too late costs a slot and helps nobody. It is hedged only while
-        `may_hedge` says so. Raises ValueError for the id of a call that has not
-        finished yet.
+        A call that is not expected to finish before its deadline, given the calls ahead
+        of it and recent latencies, is refused as not run: a late answer would use a
+        slot for nothing. The call is hedged only while `may_hedge` returns true. Raises
+        ValueError if a call with this id is unfinished.
         """
         if call.call_id in self._calls:
             raise ValueError(f"call {call.call_id} was already submitted")
@@ -197,7 +196,7 @@
         return self._admit(progress, now)
 
     def end_attempt(self, ended: AttemptEnded, *, now: float) -> list[Effect]:
-        """Take the end of an attempt; its slot is free from now on."""
+        """Record the end of an attempt and free its slot."""
         attempt = self._attempts.pop(ended.attempt_id, None)
         if attempt is None:
             return []
@@ -213,7 +212,7 @@
         return effects
 
     def cancel(self, call_id: int, *, now: float) -> list[Effect]:
-        """Give up a call that nobody waits for any more; a late cancel is no error."""
+        """Cancel a call that has no caller left; a finished call is ignored."""
         progress = self._calls.get(call_id)
         if progress is None:
             return []
@@ -224,7 +223,7 @@
     def observe(
         self, server: str, report: ServerReport | None, *, now: float
     ) -> list[Effect]:
-        """Take the result of a health probe; None when there was no answer."""
+        """Record the result of a health probe; None if there was no answer."""
         for replica in self._replicas:
             if replica.server.name != server:
                 continue
@@ -235,7 +234,7 @@
         return self.advance(now=now)
 
     def advance(self, *, now: float) -> list[Effect]:
-        """Do what has become due: end late calls, hedge slow ones, use free slots."""
+        """Do what is due: end late calls, hedge slow ones, use free slots."""
         effects: list[Effect] = []
         while (call_id := self._timers.pop_due(now)) is not None:
             progress = self._calls.get(call_id)
@@ -248,12 +247,12 @@
     def replace(
         self, *, group: Group, service: Service, control: Control, now: float
     ) -> list[Effect]:
-        """Act on changed settings from now on; running calls go on.
+        """Apply changed settings; running calls go on.
 
-        A server that is gone, or has another address, gets nothing new. A new one
-        starts slowly, as its caches are cold. So does one that has started again, of
-        which nothing holds: what was learned of the process before is about slots,
-        queues and failures that ended with it. Its attempts teach only the old record.
+        A server that was removed, or has another address, gets no new calls. A new or
+        restarted one starts slowly, as its caches are cold, and with a new record:
+        slots, queues and failures of the process before do not apply to it. Attempts
+        that still run on the old process update only the old record.
         """
         known = {
             (r.server.address, r.server.incarnation): r
@@ -266,12 +265,13 @@
             if replica is None:
                 replica = self._make_replica(server, ramp_from=now)
             elif server.address not in staying or server.name != replica.server.name:
-                # Another process at the address: what is known is of the one before.
+                # The process at the address may be another one, so the old state does
+                # not apply.
                 replica.rejoin(now)
             replica.server = server
             self._replicas.append(replica)
-        # Its attempts still hold slots: a server that an edit takes away and the
-        # next one brings back would else be given twice its slots.
+        # Kept because their attempts still hold slots: a server that is removed and
+        # added again would otherwise be given twice its slots.
         self._leaving = [r for r in known.values() if r.in_flight > 0]
         self.group = group
         self.service = service
@@ -290,7 +290,7 @@
         return self.advance(now=now)
 
     def stop(self, *, now: float) -> list[Effect]:
-        """End the calls that wait, truly not run; those that run may finish."""
+        """End the waiting calls as not run; running calls may finish."""
         self._is_stopping = True
         effects: list[Effect] = []
         while self._waiting:
@@ -300,7 +300,7 @@
         return effects
 
     def next_wake(self) -> float | None:
-        """Return the time at which `advance` has something to do, or None."""
+        """Return when `advance` next has something to do, or None."""
         wake = self._timers.find_next(self._calls)
         first_deadline = self._waiting.first_deadline
         if first_deadline is not None:
@@ -386,8 +386,8 @@
         tried = progress.tried | self._find_stalled(now)
         if progress.attempts:
             running = {attempt.replica for attempt in progress.attempts}
-            # A first hedge on the same server would meet what holds up the call. When
-            # two servers are slow with it, the cause is with the attempts.
+            # A hedge on the same server would be held up by the same cause. Once two
+            # servers are slow, a running one may be chosen again as a last resort.
             if len(progress.attempts) == 1:
                 excluded = excluded | running
             else:
@@ -405,22 +405,21 @@
         )
 
     def _find_typical(self) -> float:
-        """Return the slowness that a replica is held against: the fastest one's.
+        """Return the slowness of the fastest replica, the baseline for the others.
 
-        The group's mean is that of the replica which gets most calls. Where that is
-        the near one, and it turns slow, the mean turns slow with it, and nothing
-        would ever go to the others.
+        The group's mean would not do: it follows the replica that gets most calls, the
+        near one as a rule. If that one turned slow, the mean would rise with it, and no
+        calls would move to the others.
         """
         known = [r.slowness for r in self._replicas if r.slowness > 0.0]
         return min(known, default=0.0)
 
     def _find_stalled(self, now: float) -> frozenset[Replica]:
-        """Return the servers that have held a call for much longer than is usual.
+        """Return the servers that have held a call for much longer than usual.
 
-        A server that pauses (a collection of garbage, say) answers nothing for a
-        while. Each call sent there meanwhile would wait for the end of the pause, or
-        cost a hedge; a group with another replica loses nothing by sparing it until
-        it answers.
+        A server that pauses, for example for a garbage collection, answers nothing for
+        a while. Calls sent there meanwhile would wait for the end of the pause or cost
+        a hedge, so other replicas are preferred until it answers.
         """
         return frozenset(
             attempt.replica
@@ -477,8 +476,8 @@
         )
         if attempt.progress is None and self._is_overtaken(attempt, ended, now):
             replica.add_blame(BLAME[Reason.DEADLINE], now=now, dice=self.random)
-        # A hedge runs only when the first attempt is slow. Counted, its fast answers
-        # would pull the quantile down, and each hedge would bring on more of them.
+        # A hedge runs only when the first attempt is slow. If its fast answers were
+        # counted, they would lower the quantile and cause more hedges.
         if attempt.cause == "hedge":
             return
         for recent in {self._recent, self._get_recent(attempt.call)}:
@@ -490,26 +489,25 @@
                         recent.add(ended.elapsed)
 
     def _get_recent(self, call: Call) -> RecentLatencies:
-        """Return the latencies that a call is held against."""
+        """Return the recent latencies that a call is compared with."""
         if not call.kind:
             return self._recent
         return self._kinds.get(call.kind, quantile=self._recent.quantile)
 
     def _weigh(self, call: Call, elapsed: float) -> float:
-        """Return how long an attempt took as a multiple of what its kind takes.
+        """Return the latency of an attempt in medians of its kind of call.
 
-        In seconds, a replica that had long calls would look slower than one that had
-        short ones: with three times between kinds, idle near replicas were passed over
-        for remote ones whose last call had been a short one.
+        In seconds, a replica that served long calls would look slower than one that
+        served short calls, and idle near replicas would be passed over for remote ones.
         """
         median = self._get_recent(call).median
         return elapsed / median if median else 1.0
 
     def _is_overtaken(self, attempt: Attempt, ended: AttemptEnded, now: float) -> bool:
-        """Tell whether an attempt was cut because it was slow, not for the caller.
+        """Return whether an attempt was cancelled because its server was slow.
 
-        A server that accepts calls and never answers shows no other sign: we cancel
-        each attempt when a hedge has won or the deadline has come.
+        A server that accepts calls and never answers shows no other sign, as each of
+        its attempts is cancelled when a hedge wins or at the deadline.
         """
         match ended.outcome:
             case Unknown(reason=Reason.CANCELLED):
@@ -540,11 +538,11 @@
             self._finish(progress, progress.get_failure() or outcome, effects)
 
     def _retry(self, progress: Progress, now: float, effects: list[Effect]) -> bool:
-        """Start or queue one more attempt; False when there can be none."""
+        """Start or queue another attempt; return False if none is possible."""
         call = progress.call
-        # Once a byte of a non-idempotent call may have left, a second attempt could
-        # run it twice: a sponsor billed twice. Only the server's or the connection's
-        # proof that it has not run allows another.
+        # Once a byte of a non-idempotent call may have left, another attempt could run
+        # it twice. Only proof from the server or the connection that it has not run
+        # allows one.
         if progress.unknown is not None and not call.idempotent:
             return False
         if progress.n_attempts >= _limit_attempts(call):
@@ -575,9 +573,10 @@
         return True
 
     def _may_spend_retry(self, progress: Progress, now: float) -> bool:
-        # A refusal cost its server next to nothing, and the server that refused is
-        # excluded, backed off or ejected: such a retry can not amplify an outage.
-        # One that may have run did cost a slot's time, and is paid for.
+        # Retries of refusals are free unless the platform counts them: a refusal costs
+        # its server next to nothing, and the server is excluded, backed off or ejected,
+        # so they cannot amplify an outage. An attempt that may have run used a slot and
+        # is charged.
         if progress.unknown is None and not self.service.extra.counts_refusals:
             return True
         return self._retries.spend(now=now)
@@ -588,7 +587,7 @@
         call = progress.call
         due = self._get_hedge_time(progress)
         if due <= now:
-            # It was due, but there was no free slot or no token: look again.
+            # The hedge was due but found no free slot or no token: try again soon.
             pause = (self._get_recent(call).delay or 0.0) / LOOKS_PER_DELAY
             due = now + max(SHORTEST_HEDGE_DELAY, pause)
         due = min(due, call.deadline)
@@ -622,11 +621,11 @@
             and self._may_overtake(progress, now)
         ):
             self._blocked[progress.call.call_id] = progress
-        # Whether hedged or not: next time is another try, or the deadline.
+        # The next timer is for another hedge or for the deadline.
         self._set_timer(progress, now)
 
     def _hedge(self, progress: Progress, now: float) -> list[Effect]:
-        """Start a second attempt on a replica with a free slot, within the budget."""
+        """Start another attempt on a replica with a free slot, within the budget."""
         if self._is_stopping:
             return []
         if self._waiting and not self._may_overtake(progress, now):
@@ -656,19 +655,19 @@
         return [WithholdHedge(call=progress.call, why=why)]
 
     def _may_overtake(self, progress: Progress, now: float) -> bool:
-        """Tell whether a hedge of this call may take a slot before calls that wait.
+        """Return whether a hedge of this call may take a slot before waiting calls.
 
-        While calls wait a free slot is theirs: a hedge would delay one call to speed
-        up another. But a straggler holds its whole query, for many times what the
-        calls that wait lose by one slot; so it may, within the budget, unless the
-        queue is so long that the group has more work than slots.
+        Free slots go to waiting calls first, as a hedge would delay one call to speed
+        up another. A straggler, though, delays its whole query by far more than one
+        slot costs a waiting call. So it may go first, within the budget, unless the
+        queue is longer than the number of slots, which is a sign of overload.
         """
         n_slots = sum(replica.server.slots for replica in self._replicas)
         is_short = len(self._waiting) <= n_slots
         return is_short and self._is_straggling(progress, now)
 
     def _hedge_blocked(self, now: float, effects: list[Effect]) -> None:
-        """Hedge stragglers that found no slot, before calls that wait take this one."""
+        """Hedge blocked stragglers before waiting calls take the free slot."""
         for call_id, progress in list(self._blocked.items()):
             if call_id not in self._calls or not progress.attempts:
                 del self._blocked[call_id]
@@ -685,7 +684,7 @@
         return waited >= STRAGGLER_RATIO * median
 
     def _is_reserved(self, progress: Progress, now: float) -> bool:
-        """Tell whether the tokens left are for slower attempts than this call's."""
+        """Return whether the remaining tokens are reserved for slower calls."""
         return (
             not self._is_straggling(progress, now)
             and self._hedges.tokens < 1.0 + HEDGE_RESERVE
@@ -720,7 +719,7 @@
     def _give_up(
         self, progress: Progress, reason: Reason, effects: list[Effect]
     ) -> None:
-        """End a call for which an answer is no longer of use."""
+        """End a call whose answer is no longer needed."""
         outcome: Outcome
         if progress.attempts:
             progress.server = progress.attempts[0].replica.server.name
@@ -757,5 +756,5 @@
 
 
 def _limit_attempts(call: Call) -> int:
-    """Return to how many servers a call may be sent, hedges included."""
+    """Return how many attempts a call may have, hedges included."""
     return min(MAX_ATTEMPTS, call.max_attempts or MAX_ATTEMPTS)
--- a/src/lavendergap/coordination/summary.py
+++ b/src/lavendergap/coordination/summary.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSummary:
-    """A backend server as its owner sees it now."""
+    """State of a backend server as its owner knows it."""
 
     name: str
     state: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GroupSummary:
-    """A group as its owner sees it now; counts are since the scheduler was made."""
+    """State of a group at its owner; counts are since the scheduler was created."""
 
     group: str
     n_waiting: int
@@ -41,7 +41,7 @@
 
 
 def summarize_server(replica: Replica, now: float) -> ServerSummary:
-    """Summarize what is known of a server at `now`."""
+    """Return the summary of a server at `now`."""
     return ServerSummary(
         name=replica.server.name,
         state=replica.state,
--- a/src/lavendergap/coordination/timers.py
+++ b/src/lavendergap/coordination/timers.py
@@ -1,20 +1,20 @@
-"""The times at which running calls have to be looked after."""
+"""Timers of running calls."""
 
 from collections.abc import Container
 from heapq import heapify, heappop, heappush
 
 from .replicas import NEVER
 
-# A finished call's timer stays in the heap until its time comes; beyond this many
-# stale ones the heap is rebuilt, so that long deadlines do not fill the memory.
+# Timers of finished calls stay in the heap until they are due. Beyond this many the
+# heap is rebuilt, so that long deadlines do not use unbounded memory.
 MAX_STALE = 256
 
 
 class CallTimers:
-    """A heap of times, in seconds, with the ids of the calls they are for.
+    """A heap of due times in seconds, with the ids of their calls.
 
-    A call may have several; a finished call's are dropped when they come up. `live`
-    tells which calls are under way.
+    A call may have several timers. Those of a finished call are dropped when they reach
+    the top. `live` contains the ids of the unfinished calls.
 
     >>> timers = CallTimers()
     >>> timers.add(0.3, 1)
@@ -32,24 +32,24 @@
         return len(self._heap)
 
     def add(self, due: float, call_id: int) -> None:
-        """Add a time for a call."""
+        """Add a timer for a call."""
         heappush(self._heap, (due, call_id))
 
     def find_next(self, live: Container[int]) -> float:
-        """Return the earliest time of a live call, or `NEVER`."""
+        """Return the earliest due time of a live call, or `NEVER`."""
         heap = self._heap
         while heap and heap[0][1] not in live:
             heappop(heap)
         return heap[0][0] if heap else NEVER
 
     def pop_due(self, now: float) -> int | None:
-        """Remove the earliest time if it has come, and return its call."""
+        """Remove the earliest timer if it is due, and return its call."""
         if self._heap and self._heap[0][0] <= now:
             return heappop(self._heap)[1]
         return None
 
     def drop_stale(self, live: Container[int], n_live: int) -> None:
-        """Rebuild the heap without finished calls once they outnumber the others."""
+        """Rebuild the heap without finished calls once it has too many timers."""
         if len(self._heap) <= MAX_STALE + 2 * n_live:
             return
         first: dict[int, float] = {}
--- a/src/lavendergap/coordination/warmup.py
+++ b/src/lavendergap/coordination/warmup.py
@@ -1,33 +1,33 @@
-"""How many requests a backend server gets while its caches are cold."""
+"""Limit on the requests to a backend server whose caches are cold."""
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 
 WINDOW = 1.0
-"""Over which a cold server's requests are counted, in seconds."""
+"""Seconds over which the requests to a cold server are counted."""
 
 MAX_SENDERS = 3
-"""Into how many parts the bound on a cold server's requests is divided.
+"""Number of parts into which the limit for a cold server is divided.
 
-One host sends to a cold server: the first ranked of the server's data centre. Hosts
-whose views of the fleet differ may take different ones for it, as while one is lost and
-another takes over; the parts of so many are within the bound together.
+One host sends to a cold server: the first ranked one of the server's data centre. Hosts
+with different views of the fleet may choose different ones, for example while a lost
+host is replaced; this many stay within the limit together.
 """
 
 FOREIGN_WAIT = 3.0
-"""Seconds until a cold server may be asked that another host warms up.
+"""Seconds until a cold server that another host warms up is considered again.
 
-It is warm by then; whoever needs it sooner is refused at once.
+It should be warm by then. Calls that cannot wait so long are refused at once.
 """
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WarmupBound:
-    """What the platform allows to be sent to a cold server, by all hosts together.
+    """The platform's limit on requests to a cold server, over all hosts.
 
-    In each second `factor` times the rate that the server's service tolerates while
-    cold, and `slack` requests more.
+    In each second `factor` times the rate that the service tolerates while cold, plus
+    `slack` requests.
 
     >>> WarmupBound(factor=1.5, slack=5).divide(10.0)
     6
@@ -37,14 +37,14 @@
     slack: float
 
     def divide(self, rate: float) -> int:
-        """Return the part of one host, in requests a second."""
+        """Return one host's part of the limit, in requests a second."""
         return int((rate * self.factor + self.slack) / MAX_SENDERS)
 
 
 class WarmupLimit:
-    """Counts the requests that one host has sent to a cold server.
+    """Counts the requests that this host has sent to a cold server.
 
-    `may_warm` tells whether this is the host that warms the server up.
+    `may_warm` returns whether this is the host that warms the server up.
     """
 
     __slots__ = ("_may_warm", "_sent")
@@ -61,11 +61,11 @@
         return limit - len(self._sent)
 
     def note_sent(self, now: float) -> None:
-        """Count a request."""
+        """Record a request."""
         self._sent.append(now)
 
     def get_opening(self, limit: int, now: float) -> float:
-        """Return when the next request may be sent, for one that may not be now."""
+        """Return when the next request may be sent; call it only if none may be now."""
         if limit <= 0 or not self._may_warm():
             return now + FOREIGN_WAIT
         self._forget(now)
