--- a/src/lavendergap/coordination/admission.py
+++ b/src/lavendergap/coordination/admission.py
@@ -9,21 +9,21 @@
 
 # Bounds on the delay suggested to a refused caller. It should return once the queue has
 # been served: an immediate return would repeat the same load.
-SHORTEST_RETRY_AFTER = 0.02
-LONGEST_RETRY_AFTER = 5.0
+MIN_RETRY_AFTER_S = 0.02
+MAX_RETRY_AFTER_S = 5.0
 # Longer than a deadline, as the queue absorbs shorter bursts, and short enough to
 # follow a rise in load.
-ARRIVAL_WINDOW = 0.5
+ARRIVAL_WINDOW_S = 0.5
 # Fewer calls in a window are a burst, and no rate is computed.
 MIN_ARRIVALS = 20
-TARGET_PRESSURE = 0.15
-PRESSURE_GAIN = 1.0
+TARGET_WAIT_SHARE = 0.15
+WAIT_SHARE_GAIN = 1.0
 
 
 _Entry = tuple[int, float, int, Progress]
 
 
-def _get_place(entry: _Entry) -> tuple[int, float]:
+def _get_sort_key(entry: _Entry) -> tuple[int, float]:
     return entry[0], entry[1]
 
 
@@ -63,9 +63,9 @@
 
     def count_ahead(self, *, priority: int, deadline: float) -> int:
         """Count the waiting calls that would be served before a new one."""
-        return bisect_right(self._entries, (priority, deadline), key=_get_place)
+        return bisect_right(self._entries, (priority, deadline), key=_get_sort_key)
 
-    def pop_late(self, *, now: float, needed: float) -> list[Progress]:
+    def pop_expiring(self, *, now: float, needed: float) -> list[Progress]:
         """Remove and return the calls with less than `needed` seconds left."""
         late = [entry[3] for entry in self._entries if entry[1] - needed <= now]
         for progress in late:
@@ -91,56 +91,58 @@
     is_cold: bool = False
 
 
-class Arrivals:
+class ArrivalRate:
     """The rate of calls a second over the last half to one second.
 
     It is 0 while there are too few calls to tell a rate from a burst.
 
-    >>> arrivals = Arrivals()
+    >>> arrivals = ArrivalRate()
     >>> for n in range(100):
     ...     arrivals.add(now=n / 100)
     >>> round(arrivals.rate, -1)
     100.0
     """
 
-    __slots__ = ("rate", "_began", "_n_now", "_n_before")
+    __slots__ = ("rate", "_window_began", "_n_in_window", "_n_in_last_window")
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self._began = 0.0
-        self._n_now = 0
-        self._n_before = 0
+        self._window_began = 0.0
+        self._n_in_window = 0
+        self._n_in_last_window = 0
 
     def add(self, *, now: float) -> None:
         """Count one call."""
-        elapsed = now - self._began
-        if elapsed >= ARRIVAL_WINDOW:
-            is_next = elapsed < 2 * ARRIVAL_WINDOW
-            self._n_before = self._n_now if is_next else 0
-            self._n_now = 0
-            self._began = self._began + ARRIVAL_WINDOW if is_next else now
-            elapsed = now - self._began
-        self._n_now += 1
-        n_calls = self._n_before + self._n_now
+        elapsed = now - self._window_began
+        if elapsed >= ARRIVAL_WINDOW_S:
+            is_next = elapsed < 2 * ARRIVAL_WINDOW_S
+            self._n_in_last_window = self._n_in_window if is_next else 0
+            self._n_in_window = 0
+            self._window_began = (
+                self._window_began + ARRIVAL_WINDOW_S if is_next else now
+            )
+            elapsed = now - self._window_began
+        self._n_in_window += 1
+        n_calls = self._n_in_last_window + self._n_in_window
         is_enough = n_calls >= MIN_ARRIVALS
-        self.rate = n_calls / (ARRIVAL_WINDOW + elapsed) if is_enough else 0.0
+        self.rate = n_calls / (ARRIVAL_WINDOW_S + elapsed) if is_enough else 0.0
 
 
-def compute_level(*, demand: float, pressure: float) -> float:
+def compute_admitted_share(*, demand: float, wait_share: float) -> float:
     """Return the share of calls to admit, from 0 to 1.
 
-    `demand` is the offered load as a multiple of the capacity. `pressure` is the
+    `demand` is the offered load as a multiple of the capacity. `wait_share` is the
     expected wait as a share of the time that a new call has. As neither estimate is
     exact, the share that `demand` gives is corrected until the wait settles at
-    `TARGET_PRESSURE`: long enough to keep all slots busy, and short enough for admitted
-    calls to finish in time.
+    `TARGET_WAIT_SHARE`: long enough to keep all slots busy, and short enough for
+    admitted calls to finish in time.
 
-    >>> compute_level(demand=0.8, pressure=0.0)
+    >>> compute_admitted_share(demand=0.8, wait_share=0.0)
     1.0
-    >>> compute_level(demand=2.0, pressure=TARGET_PRESSURE)
+    >>> compute_admitted_share(demand=2.0, wait_share=TARGET_WAIT_SHARE)
     0.5
     """
-    correction = 1.0 + PRESSURE_GAIN * (TARGET_PRESSURE - pressure)
+    correction = 1.0 + WAIT_SHARE_GAIN * (TARGET_WAIT_SHARE - wait_share)
     return min(1.0, max(0.0, correction / max(demand, 1e-9)))
 
 
@@ -171,35 +173,35 @@
     return capacity.opens_in + (n_ahead + 1) * service_time / n_slots
 
 
-def suggest_retry_after(wait: float, spread: float) -> int:
+def compute_retry_after_ms(wait: float, spread: float) -> int:
     """Convert a wait in seconds to the milliseconds after which to try again.
 
     `spread` between 0 and 1 lengthens the wait by up to a half, so that callers refused
     together do not return together.
 
-    >>> suggest_retry_after(0.2, 0.5)
+    >>> compute_retry_after_ms(0.2, 0.5)
     250
     """
-    bounded = min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, wait))
+    bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
     return round(bounded * (1.0 + spread / 2) * 1000)
 
 
 class Admission:
     """Decides which calls may wait, from the arrival rate and recent latencies.
 
-    `recent` is shared with hedging. While it is empty, all calls may wait.
+    `latencies` is shared with hedging. While it is empty, all calls may wait.
     """
 
-    __slots__ = ("recent", "arrivals")
+    __slots__ = ("latencies", "arrivals")
 
-    def __init__(self, *, recent: RecentLatencies) -> None:
-        self.recent = recent
-        self.arrivals = Arrivals()
+    def __init__(self, *, latencies: RecentLatencies) -> None:
+        self.latencies = latencies
+        self.arrivals = ArrivalRate()
 
     @property
     def needed_time(self) -> float:
         """The seconds that a call needs before its deadline to be worth starting."""
-        return self.recent.median or 0.0
+        return self.latencies.median or 0.0
 
     def may_wait(
         self, request_id: str, *, n_ahead: int, time_left: float, capacity: Capacity
@@ -213,12 +215,12 @@
         time_to_wait = time_left - self.needed_time
         if wait > time_to_wait:
             return False
-        pressure = wait / time_to_wait
+        wait_share = wait / time_to_wait
         demand = self._measure_demand(capacity)
-        level = compute_level(demand=demand, pressure=pressure)
-        return level >= 1.0 or compute_rank(request_id) < level
+        admitted_share = compute_admitted_share(demand=demand, wait_share=wait_share)
+        return admitted_share >= 1.0 or compute_rank(request_id) < admitted_share
 
-    def estimate_absence(self, n_waiting: int, capacity: Capacity) -> float:
+    def estimate_retry_delay(self, n_waiting: int, capacity: Capacity) -> float:
         """Estimate after how many seconds a refused caller should try again."""
         # Excess load is added because admission keeps the queue short: the queue's
         # length alone would bring callers back into the same overload. A second at
@@ -227,9 +229,11 @@
         return self._estimate_wait(n_waiting, capacity) + excess
 
     def _measure_demand(self, capacity: Capacity) -> float:
-        return self.arrivals.rate * (self.recent.mean or 0.0) / max(1, capacity.n_slots)
+        return (
+            self.arrivals.rate * (self.latencies.mean or 0.0) / max(1, capacity.n_slots)
+        )
 
     def _estimate_wait(self, n_ahead: int, capacity: Capacity) -> float:
         return estimate_wait(
-            n_ahead, capacity=capacity, service_time=self.recent.mean or 0.0
+            n_ahead, capacity=capacity, service_time=self.latencies.mean or 0.0
         )
--- a/src/lavendergap/coordination/arrivals.py
+++ b/src/lavendergap/coordination/arrivals.py
@@ -6,15 +6,15 @@
 
 from ..state.routes import GreatestOfAll, OneOf, Route
 
-TRIP_SAMPLES = 64
+MAX_ROUND_TRIP_SAMPLES = 64
 """First requests of connections whose round trips are kept. At one new connection a
 second that is about a minute, in which network paths rarely change.
 """
 
-MIN_TRIP_SAMPLES = 4
+MIN_ROUND_TRIP_SAMPLES = 4
 """With fewer samples, one connection delayed in a queue would decide."""
 
-DEFAULT_TRIP_MS = 6.0
+DEFAULT_ROUND_TRIP_MS = 6.0
 """Assumed until enough round trips are measured."""
 
 MAX_SPENT_SHARE = 0.5
@@ -22,7 +22,7 @@
 its caller gives less time; either way it says nothing about the network.
 """
 
-MEMORY_S = 30.0
+TIME_LEFT_PERIOD_S = 30.0
 """The most time that a route's requests stated is kept for one to two times this many
 seconds, as the callers may change. Long enough for two requests of a route that is
 called once in ten seconds.
@@ -44,16 +44,16 @@
     """
 
     spent_ms: float
-    trip_ms: float
+    round_trip_ms: float
 
     @property
-    def unseen_ms(self) -> float:
+    def outside_ms(self) -> float:
         """Milliseconds of the caller's wait that pass outside this host."""
-        return self.spent_ms + self.trip_ms
+        return self.spent_ms + self.round_trip_ms
 
 
 @dataclass(slots=True)
-class _MostLeft:
+class _MaxTimeLeft:
     """The most time left that requests of a route stated, over two periods."""
 
     since: float
@@ -61,7 +61,7 @@
     last_ms: float = 0.0
 
     def add(self, left_ms: float, now: float) -> None:
-        if now - self.since > MEMORY_S:
+        if now - self.since > TIME_LEFT_PERIOD_S:
             self.last_ms, self.present_ms, self.since = self.present_ms, 0.0, now
         self.present_ms = max(self.present_ms, left_ms)
 
@@ -86,13 +86,13 @@
     ...         "search", left_ms=left_ms, goal_ms=248, connection=port, now=0.0)
     >>> for port in range(8):
     ...     opened, used_again = note(3_017, port), note(3_023, port)
-    >>> opened, used_again.unseen_ms
-    (Arrival(spent_ms=6, trip_ms=6), 6.0)
+    >>> opened, used_again.outside_ms
+    (Arrival(spent_ms=6, round_trip_ms=6), 6.0)
     """
 
     def __init__(self) -> None:
-        self._most_left: OrderedDict[str, _MostLeft] = OrderedDict()
-        self._trips_ms: deque[float] = deque(maxlen=TRIP_SAMPLES)
+        self._max_time_left: OrderedDict[str, _MaxTimeLeft] = OrderedDict()
+        self._round_trips_ms: deque[float] = deque(maxlen=MAX_ROUND_TRIP_SAMPLES)
         self._connections: OrderedDict[object, None] = OrderedDict()
 
     def note(
@@ -112,14 +112,14 @@
         if not is_first:
             # The first request's time includes opening the connection, so only later
             # ones show the whole time that the route's callers give.
-            self._note_most(route, left_ms, now)
-        known = self._most_left.get(route)
+            self._note_time_left(route, left_ms, now)
+        known = self._max_time_left.get(route)
         spent = 0.0 if known is None else max(0.0, known.get() - left_ms)
         if spent > MAX_SPENT_SHARE * goal_ms:
             spent = 0.0
         elif is_first and known is not None:
-            self._trips_ms.append(spent)
-        return Arrival(spent_ms=spent, trip_ms=self._get_trip())
+            self._round_trips_ms.append(spent)
+        return Arrival(spent_ms=spent, round_trip_ms=self._get_round_trip())
 
     def _note_connection(self, connection: object) -> bool:
         """Record a request and return whether it is its connection's first."""
@@ -130,19 +130,21 @@
             self._connections.popitem(last=False)
         return is_first
 
-    def _note_most(self, route: str, left_ms: float, now: float) -> None:
-        known = self._most_left.get(route)
+    def _note_time_left(self, route: str, left_ms: float, now: float) -> None:
+        known = self._max_time_left.get(route)
         if known is None:
-            known = self._most_left[route] = _MostLeft(since=now, present_ms=left_ms)
+            known = self._max_time_left[route] = _MaxTimeLeft(
+                since=now, present_ms=left_ms
+            )
         known.add(left_ms, now)
-        self._most_left.move_to_end(route)
-        if len(self._most_left) > MAX_ROUTES:
-            self._most_left.popitem(last=False)
+        self._max_time_left.move_to_end(route)
+        if len(self._max_time_left) > MAX_ROUTES:
+            self._max_time_left.popitem(last=False)
 
-    def _get_trip(self) -> float:
-        if len(self._trips_ms) < MIN_TRIP_SAMPLES:
-            return DEFAULT_TRIP_MS
-        return median(self._trips_ms)
+    def _get_round_trip(self) -> float:
+        if len(self._round_trips_ms) < MIN_ROUND_TRIP_SAMPLES:
+            return DEFAULT_ROUND_TRIP_MS
+        return median(self._round_trips_ms)
 
 
 def compute_goal(route: Route, arrival: Arrival, *, reserve_ms: float) -> float:
@@ -150,7 +152,7 @@
 
     `reserve_ms` is the time this host needs from then to the last byte of the answer.
     """
-    goal_ms = route.goal_ms - arrival.unseen_ms - reserve_ms
+    goal_ms = route.goal_ms - arrival.outside_ms - reserve_ms
     return min(max(goal_ms, MIN_GOAL_SHARE * route.goal_ms), route.timeout_ms)
 
 
--- a/src/lavendergap/coordination/budget.py
+++ b/src/lavendergap/coordination/budget.py
@@ -65,6 +65,6 @@
 
     def _fill(self, now: float) -> None:
         if self._filled_at is not None and self.per_second > 0.0:
-            came = (now - self._filled_at) * self.per_second
-            self.tokens = min(self.burst, self.tokens + max(0.0, came))
+            n_added = (now - self._filled_at) * self.per_second
+            self.tokens = min(self.burst, self.tokens + max(0.0, n_added))
         self._filled_at = now
--- a/src/lavendergap/coordination/choice.py
+++ b/src/lavendergap/coordination/choice.py
@@ -5,10 +5,10 @@
 
 from ..state.outcome import Reason
 from .admission import Capacity
-from .replicas import NEVER, REPORT_LIFETIME, Replica
+from .replicas import NEVER, REPORT_LIFETIME_S, Replica
 
 # More than any load: a server that failed the call is used only if there is no other.
-LAST_RESORT = 1_000.0
+TRIED_PENALTY = 1_000.0
 # Added to the score of a server in another data centre; as much as all slots of an idle
 # server. A near server is used while it has a free slot and is not much slower than
 # usual, as traffic between data centres is paid for.
@@ -45,9 +45,9 @@
     version: int,
     excluded: frozenset[Replica],
     tried: frozenset[Replica],
-    typical: float,
+    fastest_slowness: float,
     now: float,
-    dice: Random,
+    rng: Random,
     data_centre: str = "",
     allowed: frozenset[str] | None = None,
 ) -> Choice:
@@ -77,7 +77,9 @@
     healthy = [r for r in possible if r.ejected_until <= now]
     if not healthy:
         note += " (all ejected: failing open)"
-    best = _pick_best(healthy or possible, tried, typical, now, dice, data_centre)
+    best = _pick_best(
+        healthy or possible, tried, fastest_slowness, now, rng, data_centre
+    )
     if best is None:
         return BUSY
     if data_centre and best.server.data_centre != data_centre:
@@ -94,9 +96,9 @@
 def _pick_best(
     candidates: list[Replica],
     tried: frozenset[Replica],
-    typical: float,
+    fastest_slowness: float,
     now: float,
-    dice: Random,
+    rng: Random,
     data_centre: str,
 ) -> Replica | None:
     best = None
@@ -104,19 +106,19 @@
     for replica in candidates:
         if replica.backoff_until > now or replica.in_flight >= replica.limit(now):
             continue
-        score = replica.score(now, typical)
+        score = replica.score(now, fastest_slowness)
         if tried and replica in tried:
-            score += LAST_RESORT
+            score += TRIED_PENALTY
         if data_centre and replica.server.data_centre != data_centre:
             score += REMOTE_PENALTY
-        if score < best_score or (score == best_score and dice.random() < 0.5):
+        if score < best_score or (score == best_score and rng.random() < 0.5):
             best = replica
             best_score = score
     return best
 
 
 def _explain(possible: list[Replica], best: Replica, now: float) -> str:
-    since = now - REPORT_LIFETIME
+    since = now - REPORT_LIFETIME_S
     loads = [
         f"{r.server.name}={r.in_flight}+{r.foreign}/{r.server.slots}"
         if r.foreign and r.foreign_at > since
@@ -129,14 +131,14 @@
 def measure_capacity(replicas: list[Replica], now: float) -> Capacity:
     """Return the slots that calls may use, whether in use or free."""
     usable = [r for r in replicas if r.state != "draining"]
-    welcome = [r for r in usable if r.backoff_until <= now]
-    if not welcome:
+    accepting = [r for r in usable if r.backoff_until <= now]
+    if not accepting:
         opens_at = min((r.backoff_until for r in usable), default=now)
         return Capacity(n_slots=0, opens_in=opens_at - now)
-    healthy = [r for r in welcome if r.ejected_until <= now]
-    n_slots = sum(r.limit(now) for r in healthy or welcome)
+    healthy = [r for r in accepting if r.ejected_until <= now]
+    n_slots = sum(r.limit(now) for r in healthy or accepting)
     if n_slots == 0:
-        opens_at = min(r.get_opening(now) for r in healthy or welcome)
+        opens_at = min(r.get_reopen_time(now) for r in healthy or accepting)
         opens_in = max(0.0, opens_at - now)
         return Capacity(n_slots=0, opens_in=opens_in, is_cold=True)
     return Capacity(n_slots=n_slots, opens_in=0.0)
--- a/src/lavendergap/coordination/gate.py
+++ b/src/lavendergap/coordination/gate.py
@@ -8,18 +8,18 @@
 # A query has calls to every group. If each group refused calls on its own, few queries
 # would be complete under overload. So whole queries are admitted or refused, and
 # refusals by groups only adjust the limit.
-FIRST_LIMIT = 4.0
+INITIAL_LIMIT = 4.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 10_000.0
-INCREASE = 0.5
-DECREASE = 0.85
+LIMIT_INCREASE = 0.5
+LIMIT_DECREASE_FACTOR = 0.85
 # A query whose median shard took more than this share of the deadline has met queues. A
 # lower share would mistake the latency of slow services for queueing.
-SLOW_SHARE = 0.5
+SLOW_DEADLINE_SHARE = 0.5
 # A query may wait in the queue for this share of its time. With more, it would start
 # too late, and a caller would learn of a refusal too late.
-WAIT_SHARE = 0.25
-FIRST_ELAPSED = 0.02
+MAX_WAIT_SHARE = 0.25
+INITIAL_ELAPSED_S = 0.02
 ELAPSED_GAIN = 0.1
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 10_000
@@ -61,24 +61,24 @@
     def __init__(self, *, weight: float = 1.0) -> None:
         self.weight = weight
         self.n_running = 0
-        self.limit = FIRST_LIMIT
-        self._elapsed = FIRST_ELAPSED
+        self.limit = INITIAL_LIMIT
+        self._mean_elapsed = INITIAL_ELAPSED_S
         self._queue: deque[int] = deque()
-        self._gone: set[int] = set()
+        self._abandoned: set[int] = set()
         self._last_number = 0
-        self._shrunk_at: float | None = None
+        self._last_cut_at: float | None = None
 
     def enter(self, *, now: float, left: float) -> Entered | Waiting | NotRun:
         """Admit or queue a query with `left` seconds to its deadline, or refuse it."""
-        n_ahead = len(self._queue) - len(self._gone)
-        if n_ahead == 0 and self.n_running < self._get_room():
+        n_ahead = len(self._queue) - len(self._abandoned)
+        if n_ahead == 0 and self.n_running < self._get_limit():
             self.n_running += 1
             return Entered()
         # Little's law, from the limit and the mean time of queries. A measured arrival
         # rate would drop in a quiet hour, and the next burst of callers would be
         # refused.
-        wait = (n_ahead + 1) * self._elapsed / self._get_room()
-        if wait > left * WAIT_SHARE:
+        wait = (n_ahead + 1) * self._mean_elapsed / self._get_limit()
+        if wait > left * MAX_WAIT_SHARE:
             return NotRun(
                 step=Step.ADMIT,
                 peer="",
@@ -91,48 +91,48 @@
 
     def leave(self, *, now: float, started: float, is_congested: bool) -> None:
         """Record the end of a query that entered at `started`."""
-        was_full = self.n_running >= self._get_room()
+        was_full = self.n_running >= self._get_limit()
         self.n_running -= 1
         # Congested queries count too: if all are congested, there are no others, and
         # waits would be underestimated.
-        self._elapsed += ELAPSED_GAIN * (now - started - self._elapsed)
+        self._mean_elapsed += ELAPSED_GAIN * (now - started - self._mean_elapsed)
         if is_congested:
-            self._shrink(now, started)
+            self._cut_limit(now, started)
             return
         # The limit grows only when it was reached; an unused limit says nothing about a
         # larger one.
         if was_full:
             # Until the first congestion the limit doubles with each round, as callers
             # may arrive all at once. After it the limit grows slowly.
-            step = self.weight * INCREASE / self.limit
-            if self._shrunk_at is None:
+            step = self.weight * LIMIT_INCREASE / self.limit
+            if self._last_cut_at is None:
                 step = 1.0
             self.limit = min(MAX_LIMIT, self.limit + step)
 
-    def _shrink(self, now: float, started: float) -> None:
+    def _cut_limit(self, now: float, started: float) -> None:
         # Queries that entered before the last cut met the old limit. If each of them
         # cut it again, one congestion would reduce it to the minimum.
-        if self._shrunk_at is not None and started < self._shrunk_at:
+        if self._last_cut_at is not None and started < self._last_cut_at:
             return
-        self.limit = max(MIN_LIMIT, self.limit * DECREASE)
-        self._shrunk_at = now
+        self.limit = max(MIN_LIMIT, self.limit * LIMIT_DECREASE_FACTOR)
+        self._last_cut_at = now
 
     def leave_queue(self, number: int) -> None:
         """Remove a waiting query whose caller left or whose time is up."""
-        self._gone.add(number)
+        self._abandoned.add(number)
 
     def pop_ready(self) -> int | None:
         """Return a waiting query that may start now and count it as running."""
-        while self._queue and self.n_running < self._get_room():
+        while self._queue and self.n_running < self._get_limit():
             number = self._queue.popleft()
-            if number in self._gone:
-                self._gone.discard(number)
+            if number in self._abandoned:
+                self._abandoned.discard(number)
                 continue
             self.n_running += 1
             return number
         return None
 
-    def _get_room(self) -> int:
+    def _get_limit(self) -> int:
         return int(self.limit)
 
 
@@ -146,7 +146,7 @@
     """
     if not times:
         return False
-    return sorted(times)[len(times) // 2] > limit * SLOW_SHARE
+    return sorted(times)[len(times) // 2] > limit * SLOW_DEADLINE_SHARE
 
 
 def _bound_retry_after(wait: float) -> int:
--- a/src/lavendergap/coordination/hedging.py
+++ b/src/lavendergap/coordination/hedging.py
@@ -7,22 +7,22 @@
 
 # Large enough for 13 calls beyond a quantile of 0.95, and small enough that a slow
 # period is forgotten within seconds at usual rates.
-WINDOW = 256
+MAX_SAMPLES = 256
 # Fewer calls give no usable quantile. With this many, the quartiles bound the effect of
 # one straggler, and a new owner can hedge soon.
 MIN_SAMPLES = 8
 # Sorting the window for each call would be too expensive.
-REFRESH_EVERY = 16
+SAMPLES_PER_REFRESH = 16
 # A few more stragglers than usual would raise the quantile to a straggler's latency,
 # and hedges would come too late. The median and the third quartile are robust to them,
 # so a call is hedged this far beyond them whatever the quantile.
-FENCE_DISTANCES = 5.0
-FENCE_MEDIANS = 2.0
+FENCE_QUARTILE_FACTOR = 5.0
+FENCE_MEDIAN_FACTOR = 2.0
 # More than an operator has routes in use at a time. Beyond it the least recently used
 # kind is dropped.
 MAX_KINDS = 256
 # A call that has taken this many medians is a straggler, whatever the quantile.
-STRAGGLER_RATIO = 2.0
+STRAGGLER_MEDIAN_FACTOR = 2.0
 # A call with a goal is not hedged before this share of the time to it. Most calls that
 # are merely slow have answered by then, and a hedge still has enough time.
 HEDGE_GOAL_SHARE = 0.35
@@ -30,7 +30,7 @@
 # be so high that a hedge would come too late to help.
 LATEST_HEDGE_SHARE = 0.5
 # The share of the budget that ordinary hedges use; see docs/design/hedging.md.
-BUDGET_USE = 0.6
+BUDGET_USE_SHARE = 0.6
 
 
 def choose_quantile(service: Service) -> float:
@@ -40,7 +40,9 @@
     most would use the whole budget and leave nothing for stragglers. So the quantile is
     high enough that ordinary hedges leave some of the budget.
     """
-    return max(service.hedge_after_quantile, 1.0 - BUDGET_USE * service.hedge_budget)
+    return max(
+        service.hedge_after_quantile, 1.0 - BUDGET_USE_SHARE * service.hedge_budget
+    )
 
 
 class RecentLatencies:
@@ -66,7 +68,7 @@
         self.delay: float | None = None
         self.median: float | None = None
         self.mean: float | None = None
-        self._samples: deque[float] = deque(maxlen=WINDOW)
+        self._samples: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._n_new = 0
 
     def __len__(self) -> int:
@@ -76,7 +78,7 @@
         """Record one latency; quantiles are updated after 8, then after every 16."""
         self._samples.append(latency)
         self._n_new += 1
-        if self._n_new >= REFRESH_EVERY:
+        if self._n_new >= SAMPLES_PER_REFRESH:
             self._n_new = 0
             self._refresh()
         elif len(self._samples) == MIN_SAMPLES:
@@ -114,7 +116,7 @@
         # mean that none is hedged.
         return latest
     # With a goal of less than two calls, a hedge would help few of them.
-    latest = max(latest, STRAGGLER_RATIO * (recent.median or 0.0))
+    latest = max(latest, STRAGGLER_MEDIAN_FACTOR * (recent.median or 0.0))
     return min(latest, max(recent.delay, HEDGE_GOAL_SHARE * left))
 
 
@@ -149,5 +151,5 @@
 
 def _compute_fence(median: float, third_quartile: float) -> float:
     """Return the latency beyond which a call is a straggler."""
-    fence = third_quartile + FENCE_DISTANCES * (third_quartile - median)
-    return max(fence, FENCE_MEDIANS * median)
+    fence = third_quartile + FENCE_QUARTILE_FACTOR * (third_quartile - median)
+    return max(fence, FENCE_MEDIAN_FACTOR * median)
--- a/src/lavendergap/coordination/progress.py
+++ b/src/lavendergap/coordination/progress.py
@@ -6,7 +6,7 @@
 from .calls import Call, Cause
 from .replicas import Replica
 
-NOTHING: frozenset[Replica] = frozenset()
+NO_REPLICAS: frozenset[Replica] = frozenset()
 
 
 class Attempt:
@@ -79,8 +79,8 @@
         self.n_attempts = 0
         self.cause: Cause = "first"
         self.fresh = False
-        self.excluded = NOTHING
-        self.tried = NOTHING
+        self.excluded = NO_REPLICAS
+        self.tried = NO_REPLICAS
         self.unknown: Unknown | None = None
         self.refusal: NotRun | None = None
         self.server = ""
--- a/src/lavendergap/coordination/replicas.py
+++ b/src/lavendergap/coordination/replicas.py
@@ -11,51 +11,51 @@
 
 # A server that was started or has recovered has cold caches. If all its slots were
 # filled at once, its first answers would all be late.
-SLOW_START = 3.0
+SLOW_START_S = 3.0
 # Longer than a pause for garbage collection, and short enough for another attempt
 # within a query's deadline.
-FIRST_EJECTION = 0.1
-LONGEST_EJECTION = 10.0
+FIRST_EJECTION_S = 0.1
+MAX_EJECTION_S = 10.0
 # Upper bound on a server's `Retry-After`, so that a wrong value of an hour does not
 # remove a replica for an hour.
-LONGEST_BACKOFF = 5.0
+MAX_BACKOFF_S = 5.0
 # For servers that shed load without a `Retry-After`.
-DEFAULT_BACKOFF = 0.05
+DEFAULT_BACKOFF_S = 0.05
 # A load report describes one moment and is ignored once it is older.
-REPORT_LIFETIME = 1.0
+REPORT_LIFETIME_S = 1.0
 # How long state from an answer takes precedence over the health endpoint.
-ANSWER_LIFETIME = 5.0
+ANSWER_LIFETIME_S = 5.0
 # A server that reported in an answer that it drains is used again after this time if
 # its health endpoint has reported "serving" throughout: the drain was called off. Much
 # longer than a drain takes, so that a wrong health endpoint does not bring calls to a
 # server that is shutting down.
-DRAIN_MEMORY = 60.0
+DRAIN_LIFETIME_S = 60.0
 # Slowness counts half after this time without an answer, so that a replica that was
 # slow is tried again.
-LATENCY_HALF_LIFE = 4.0
+SLOWNESS_HALF_LIFE_S = 4.0
 # Least weight of a new answer in the moving average of slowness.
-LATENCY_GAIN = 0.125
+MIN_SLOWNESS_GAIN = 0.125
 # A new answer weighs as much as the average if that is this old. With few calls a fixed
 # weight would take too long to detect a slow server.
-GAIN_HALF_LIFE = 0.5
+SLOWNESS_GAIN_HALF_LIFE_S = 0.5
 # Slowness is ignored after this many half-lives. However small, it would otherwise
 # always decide between idle replicas, and a slow one would not be tried again.
-LATENCY_MEMORY = 4
+MAX_SLOWNESS_HALF_LIVES = 4
 # One answer counts as at most this many times the fastest replica's slowness, so that
 # one pause does not mark a server as slow for seconds.
-LONGEST_SAMPLE = 4.0
+MAX_SAMPLE_FACTOR = 4.0
 # Bounds on the effect of latency on a score, so that one slow answer does not outweigh
 # any load on the other replicas.
-FASTEST_RATIO = 0.5
+MIN_SLOWNESS_RATIO = 0.5
 # Up to this ratio a replica counts as fast as the fastest. Otherwise the smallest
 # difference would decide between idle replicas, and a server that is back from a drain
 # would get no calls while its slow first answers are remembered.
-SIMILAR_RATIO = 1.25
-SLOWEST_RATIO = 4.0
+SIMILAR_SLOWNESS_RATIO = 1.25
+MAX_SLOWNESS_RATIO = 4.0
 # How much each failure counts towards an ejection, which happens at 1. A lost or silent
 # connection may be the connection's fault, so it counts half, unless the connection was
 # new. A refused connection is certainly the server's.
-BLAME = {
+FAILURE_WEIGHTS = {
     Reason.REFUSED_CONNECTION: 1.0,
     Reason.SERVER_ENDED: 1.0,
     Reason.LOST_CONNECTION: 0.5,
@@ -64,7 +64,7 @@
     Reason.WRONG_ANSWER: 0.34,
     Reason.DEADLINE: 0.34,
 }
-MISSED_PROBE_BLAME = 0.5
+MISSED_PROBE_WEIGHT = 0.5
 NEVER = float("inf")
 
 
@@ -82,7 +82,7 @@
         "state",
         "state_at",
         "state_from_answer",
-        "health_left_serving",
+        "health_was_not_serving",
         "versions",
         "versions_at",
         "versions_from_answer",
@@ -91,7 +91,7 @@
         "n_ejections",
         "blame",
         "is_on_trial",
-        "ramp_from",
+        "ramp_starts_at",
         "slowness",
         "slowness_at",
         "foreign",
@@ -103,7 +103,7 @@
         self,
         *,
         server: Server,
-        ramp_from: float = -NEVER,
+        ramp_starts_at: float = -NEVER,
         may_warm: Callable[[], bool] = lambda: True,
     ) -> None:
         self.server = server
@@ -112,7 +112,7 @@
         self.state = "serving"
         self.state_at = -NEVER
         self.state_from_answer = False
-        self.health_left_serving = False
+        self.health_was_not_serving = False
         self.versions: tuple[int, ...] = ()
         self.versions_at = -NEVER
         self.versions_from_answer = False
@@ -121,7 +121,7 @@
         self.n_ejections = 0
         self.blame = 0.0
         self.is_on_trial = False
-        self.ramp_from = ramp_from
+        self.ramp_starts_at = ramp_starts_at
         self.slowness = 0.0
         self.slowness_at = -NEVER
         self.foreign = 0
@@ -137,11 +137,11 @@
             return 0
         if self.is_on_trial or self.state == "starting":
             return 1
-        since = now - self.ramp_from
+        since = now - self.ramp_starts_at
         slots = self.server.slots
-        if since >= SLOW_START:
+        if since >= SLOW_START_S:
             return slots
-        return 1 + int((slots - 1) * since / SLOW_START)
+        return 1 + int((slots - 1) * since / SLOW_START_S)
 
     def note_start(self, now: float) -> None:
         """Record that an attempt starts."""
@@ -160,30 +160,30 @@
             return True
         return version > max(versions)
 
-    def score(self, now: float, typical: float) -> float:
+    def score(self, now: float, fastest_slowness: float) -> float:
         """Return the expected cost of one more call; the lowest score is the best.
 
         The load is the owner's calls in flight plus other owners' calls from the last
         report, which count less as the report ages. It is weighted by the slowness of
-        the server relative to `typical`, the slowness of the fastest replica.
+        the server relative to `fastest_slowness`, that of the fastest replica.
         """
         load = self.in_flight + 1.0
         age = now - self.foreign_at
-        if age < REPORT_LIFETIME:
-            load += self.foreign * (1.0 - age / REPORT_LIFETIME)
+        if age < REPORT_LIFETIME_S:
+            load += self.foreign * (1.0 - age / REPORT_LIFETIME_S)
         score = load / self.server.slots
-        if typical > 0.0 and self.slowness > 0.0:
-            age = (now - self.slowness_at) / LATENCY_HALF_LIFE
-            weight = 0.5**age if age < LATENCY_MEMORY else 0.0
-            ratio = self.slowness / typical
-            if ratio > SLOWEST_RATIO:
-                ratio = SLOWEST_RATIO
-            elif ratio < FASTEST_RATIO:
-                ratio = FASTEST_RATIO
-            elif 1.0 < ratio <= SIMILAR_RATIO:
+        if fastest_slowness > 0.0 and self.slowness > 0.0:
+            age = (now - self.slowness_at) / SLOWNESS_HALF_LIFE_S
+            weight = 0.5**age if age < MAX_SLOWNESS_HALF_LIVES else 0.0
+            ratio = self.slowness / fastest_slowness
+            if ratio > MAX_SLOWNESS_RATIO:
+                ratio = MAX_SLOWNESS_RATIO
+            elif ratio < MIN_SLOWNESS_RATIO:
+                ratio = MIN_SLOWNESS_RATIO
+            elif 1.0 < ratio <= SIMILAR_SLOWNESS_RATIO:
                 ratio = 1.0
             score *= 1.0 + (ratio - 1.0) * weight
-        if now - self.ramp_from < SLOW_START or self.is_on_trial:
+        if now - self.ramp_starts_at < SLOW_START_S or self.is_on_trial:
             score += 0.5
         return score
 
@@ -194,21 +194,21 @@
         elapsed: float,
         fresh: bool,
         now: float,
-        dice: Random,
-        typical: float = 0.0,
+        rng: Random,
+        fastest_slowness: float = 0.0,
     ) -> None:
         """Update the state from the end of an attempt.
 
-        `elapsed` is in multiples of the median of the call's kind. `typical` is the
-        slowness of the fastest replica in the same unit.
+        `elapsed` is in multiples of the median of the call's kind, and so is
+        `fastest_slowness`, the slowness of the fastest replica.
         """
-        if typical > 0.0:
-            elapsed = min(elapsed, LONGEST_SAMPLE * typical)
+        if fastest_slowness > 0.0:
+            elapsed = min(elapsed, MAX_SAMPLE_FACTOR * fastest_slowness)
         match outcome:
             case Answered():
                 self._note_success(elapsed, now)
             case NotRun(reason=Reason.SHED, retry_after_ms=ms):
-                wait = min(LONGEST_BACKOFF, ms / 1000) if ms > 0 else DEFAULT_BACKOFF
+                wait = min(MAX_BACKOFF_S, ms / 1000) if ms > 0 else DEFAULT_BACKOFF_S
                 self.backoff_until = max(self.backoff_until, now + wait)
             case NotRun(reason=Reason.NO_REPLICA):
                 # Another server has taken over the address, and the registry is not up
@@ -216,10 +216,10 @@
                 # beyond its group's budget of extra calls.
                 self._set_state("draining", from_answer=True, now=now)
             case Unknown(reason=Reason.CANCELLED):
-                self._note_at_least(elapsed, now)
+                self._note_min_latency(elapsed, now)
             case NotRun(reason=reason) | Unknown(reason=reason):
-                blame = BLAME.get(reason, 0.0)
-                self.add_blame(2 * blame if fresh else blame, now=now, dice=dice)
+                weight = FAILURE_WEIGHTS.get(reason, 0.0)
+                self.count_failure(2 * weight if fresh else weight, now=now, rng=rng)
 
     def _note_success(self, elapsed: float, now: float) -> None:
         if self.slowness == 0.0:
@@ -231,13 +231,13 @@
         self.is_on_trial = False
         if self.n_ejections:
             # The answer ends the ejection early, but the server still starts slowly.
-            if now < self.ejected_until or self.ramp_from < self.ejected_until:
-                self.ramp_from = now
+            if now < self.ejected_until or self.ramp_starts_at < self.ejected_until:
+                self.ramp_starts_at = now
                 self.ejected_until = now
-            elif now - self.ramp_from >= SLOW_START:
+            elif now - self.ramp_starts_at >= SLOW_START_S:
                 self.n_ejections = 0
 
-    def _note_at_least(self, elapsed: float, now: float) -> None:
+    def _note_min_latency(self, elapsed: float, now: float) -> None:
         # A cancelled attempt took at least this long. If it were ignored, a server
         # whose attempts are all cancelled would keep the slowness of its last answer
         # and go on getting calls that need a hedge.
@@ -247,20 +247,20 @@
 
     def _get_gain(self, now: float) -> float:
         """Return the weight of a new answer in the moving average."""
-        age = (now - self.slowness_at) / GAIN_HALF_LIFE
-        return max(LATENCY_GAIN, 1.0 - exp2(-age))
+        age = (now - self.slowness_at) / SLOWNESS_GAIN_HALF_LIFE_S
+        return max(MIN_SLOWNESS_GAIN, 1.0 - exp2(-age))
 
-    def add_blame(self, blame: float, *, now: float, dice: Random) -> None:
+    def count_failure(self, weight: float, *, now: float, rng: Random) -> None:
         """Count a failure; at a total of 1, eject the server for a growing time."""
-        if blame <= 0.0 or now < self.ejected_until:
+        if weight <= 0.0 or now < self.ejected_until:
             return
-        self.blame += blame
+        self.blame += weight
         if self.blame < 1.0 and not self.is_on_trial:
             return
-        wait = min(LONGEST_EJECTION, FIRST_EJECTION * 2**self.n_ejections)
+        wait = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**self.n_ejections)
         # Random, so that owners that saw the same failure do not return together.
-        self.ejected_until = now + wait * dice.uniform(0.8, 1.2)
-        self.ramp_from = self.ejected_until
+        self.ejected_until = now + wait * rng.uniform(0.8, 1.2)
+        self.ramp_starts_at = self.ejected_until
         self.n_ejections = min(self.n_ejections + 1, 10)
         self.blame = 0.0
         # After the ejection the server gets one call at a time, and the first failure
@@ -268,13 +268,13 @@
         self.is_on_trial = True
 
     def note_answer(
-        self, report: ServerReport, *, started: float, own: int, now: float
+        self, report: ServerReport, *, started: float, own_in_flight: int, now: float
     ) -> None:
         """Record the report in an answer to an attempt that started at `started`.
 
-        `own` is the number of the owner's calls in flight when the report was made.
+        `own_in_flight` counts the owner's calls in flight when the report was made.
         """
-        self._note_load(report, own=own, now=now)
+        self._note_load(report, own_in_flight=own_in_flight, now=now)
         if report.versions:
             self.versions = report.versions
             self.versions_at = now
@@ -292,69 +292,71 @@
             self.versions_at = now
             self.versions_from_answer = False
         foreign = report.in_use + report.queued - self.in_flight
-        if foreign > self.foreign or now - self.foreign_at >= REPORT_LIFETIME:
-            self._note_load(report, own=self.in_flight, now=now)
+        if foreign > self.foreign or now - self.foreign_at >= REPORT_LIFETIME_S:
+            self._note_load(report, own_in_flight=self.in_flight, now=now)
         if report.state != "serving":
-            self.health_left_serving = True
+            self.health_was_not_serving = True
             self._note_worse_health(report, now)
         elif self._may_rejoin(now):
             self._set_state("serving", from_answer=False, now=now)
 
-    def note_no_health(self, *, now: float, dice: Random) -> None:
+    def note_no_health(self, *, now: float, rng: Random) -> None:
         """Record a health probe without an answer."""
-        self.health_left_serving = True
-        self.add_blame(MISSED_PROBE_BLAME, now=now, dice=dice)
+        self.health_was_not_serving = True
+        self.count_failure(MISSED_PROBE_WEIGHT, now=now, rng=rng)
 
     def _note_worse_health(self, report: ServerReport, now: float) -> None:
         if report.state == "draining" or self.state == "draining":
             # "starting" after a drain means a new process, which gets a slow start.
             self._set_state(report.state, from_answer=False, now=now)
-        elif not (self.state_from_answer and now - self.state_at < ANSWER_LIFETIME):
+        elif not (self.state_from_answer and now - self.state_at < ANSWER_LIFETIME_S):
             self._set_state(report.state, from_answer=False, now=now)
 
     def _may_rejoin(self, now: float) -> bool:
         if self.state == "serving":
             return False
-        if not self.state_from_answer or self.health_left_serving:
+        if not self.state_from_answer or self.health_was_not_serving:
             return True
         # The health endpoint has only reported "serving" although an answer differed,
         # so it is late or wrong. It takes effect only once the answer has expired.
-        memory = DRAIN_MEMORY if self.state == "draining" else ANSWER_LIFETIME
+        memory = DRAIN_LIFETIME_S if self.state == "draining" else ANSWER_LIFETIME_S
         return now - self.state_at >= memory
 
     def rejoin(self, now: float) -> None:
         """Reset the state of a server that is back in the settings."""
         self._set_state("serving", from_answer=False, now=now)
-        self.ramp_from = now
+        self.ramp_starts_at = now
         self.backoff_until = -NEVER
         self.ejected_until = -NEVER
         self.n_ejections = 0
         self.blame = 0.0
         self.is_on_trial = False
 
-    def get_opening(self, now: float) -> float:
+    def get_reopen_time(self, now: float) -> float:
         """Return the next time at which the server may take more calls than now."""
         closed_until = max(self.backoff_until, self.ejected_until)
         if closed_until > now:
             return closed_until
         cold_limit = self.server.cold_limit
         if cold_limit is not None and self._warmup.count_left(cold_limit, now) <= 0:
-            return self._warmup.get_opening(cold_limit, now)
-        ramp_ends = self.ramp_from + SLOW_START
+            return self._warmup.get_reopen_time(cold_limit, now)
+        ramp_ends = self.ramp_starts_at + SLOW_START_S
         return ramp_ends if ramp_ends > now else NEVER
 
     def _has_answered_since(self, now: float) -> bool:
-        return self.versions_from_answer and now - self.versions_at < ANSWER_LIFETIME
+        return self.versions_from_answer and now - self.versions_at < ANSWER_LIFETIME_S
 
-    def _note_load(self, report: ServerReport, *, own: int, now: float) -> None:
-        self.foreign = max(0, report.in_use + report.queued - own)
+    def _note_load(
+        self, report: ServerReport, *, own_in_flight: int, now: float
+    ) -> None:
+        self.foreign = max(0, report.in_use + report.queued - own_in_flight)
         self.foreign_at = now
 
     def _set_state(self, state: str, *, from_answer: bool, now: float) -> None:
         if state != self.state:
-            self.health_left_serving = False
+            self.health_was_not_serving = False
             if state == "serving":
-                self.ramp_from = now
+                self.ramp_starts_at = now
         self.state = state
         self.state_at = now
         self.state_from_answer = from_answer
--- a/src/lavendergap/coordination/reserve.py
+++ b/src/lavendergap/coordination/reserve.py
@@ -12,23 +12,23 @@
 answers miss the goal; if it is too long, stragglers are given up early.
 """
 
-USUAL_CORES = 0.5
+REFERENCE_CORES = 0.5
 """The cores of a host for which the reserve above holds. A weaker host needs more in
 proportion; a stronger one keeps as much.
 """
 
-SAMPLES = 16
+MAX_SAMPLES = 16
 """Answers that are remembered; some ten seconds at one or two a second."""
 
 MIN_SAMPLES = 4
 """With fewer samples, one answer at a busy moment would decide."""
 
-MEMORY_S = 30.0
+MAX_SAMPLE_AGE_S = 30.0
 """Older answers are ignored: what made the host slow then, other processes or a burst
 of callers, has passed.
 """
 
-QUARTILE = 2
+THIRD_QUARTILE = 2
 """Index of the third quartile: three of four answers that wait for stragglers should be
 in time. A higher quantile would give up stragglers of all answers for the slowest.
 """
@@ -51,28 +51,28 @@
     """
 
     def __init__(self, *, cores: float) -> None:
-        self._weakness = max(1.0, USUAL_CORES / cores)
-        self._samples: deque[tuple[float, float]] = deque(maxlen=SAMPLES)
-        self._learned_ms = 0.0
-        self._learned_at = float("-inf")
+        self._core_factor = max(1.0, REFERENCE_CORES / cores)
+        self._samples: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
+        self._measured_ms = 0.0
+        self._measured_at = float("-inf")
 
     def note(self, *, took_ms: float, now: float) -> None:
         """Record the time one joined answer took, in milliseconds; `now` in seconds."""
         self._samples.append((now, took_ms))
-        recent = [took for at, took in self._samples if now - at <= MEMORY_S]
-        self._learned_at = now
-        self._learned_ms = 0.0
+        recent = [took for at, took in self._samples if now - at <= MAX_SAMPLE_AGE_S]
+        self._measured_at = now
+        self._measured_ms = 0.0
         if len(recent) >= MIN_SAMPLES:
             quartiles = quantiles(recent, n=4, method="inclusive")
-            self._learned_ms = quartiles[QUARTILE]
+            self._measured_ms = quartiles[THIRD_QUARTILE]
 
     def get_ms(self, *, n_parts: int, now: float) -> float:
         """Return the reserve for an answer of `n_parts`, in milliseconds.
 
         The samples are of joined answers; an answer of one server needs less.
         """
-        usual = ANSWER_RESERVE_MS + PART_RESERVE_MS * n_parts
-        expected = usual * self._weakness
-        if n_parts == 1 or now - self._learned_at > MEMORY_S:
+        reference_ms = ANSWER_RESERVE_MS + PART_RESERVE_MS * n_parts
+        expected = reference_ms * self._core_factor
+        if n_parts == 1 or now - self._measured_at > MAX_SAMPLE_AGE_S:
             return expected
-        return max(expected, self._learned_ms)
+        return max(expected, self._measured_ms)
--- a/src/lavendergap/coordination/routing.py
+++ b/src/lavendergap/coordination/routing.py
@@ -49,14 +49,14 @@
         return None
 
 
-def draw_group(target: OneOf, dice: Random) -> str | None:
+def draw_group(target: OneOf, rng: Random) -> str | None:
     """Choose a group at random by weight; return None if all weights are 0."""
     total = sum(each.weight for each in target.groups)
     if total <= 0.0:
         return None
-    point = dice.random() * total
+    remaining = rng.random() * total
     for each in target.groups:
-        point -= each.weight
-        if point < 0.0:
+        remaining -= each.weight
+        if remaining < 0.0:
             return each.group
     return target.groups[-1].group
--- a/src/lavendergap/coordination/scheduler.py
+++ b/src/lavendergap/coordination/scheduler.py
@@ -14,7 +14,7 @@
     is_server_end,
 )
 from ..state.settings import Control, Group, Server, Service
-from .admission import Admission, Capacity, WaitingCalls, suggest_retry_after
+from .admission import Admission, Capacity, WaitingCalls, compute_retry_after_ms
 from .budget import Budget
 from .calls import (
     AttemptEnded,
@@ -30,35 +30,35 @@
 )
 from .choice import Busy, Choice, Chosen, NoneLeft, choose, measure_capacity
 from .hedging import (
-    STRAGGLER_RATIO,
+    STRAGGLER_MEDIAN_FACTOR,
     KindLatencies,
     RecentLatencies,
     choose_hedge_delay,
     choose_quantile,
 )
 from .progress import Attempt, Progress
-from .replicas import BLAME, NEVER, Replica
+from .replicas import FAILURE_WEIGHTS, NEVER, Replica
 from .summary import GroupSummary, summarize_server, to_ms
 from .timers import CallTimers
 
 # Bounds the attempts of one call whatever the budgets allow, so that a call that
 # crashes its server cannot crash the whole group.
 MAX_ATTEMPTS = 4
-SHORTEST_HEDGE_DELAY = 0.001
+MIN_HEDGE_DELAY_S = 0.001
 # Hedge tokens kept for stragglers. Where latencies hardly vary, the quantile is close
 # to the median, and ordinary calls just beyond it would spend every token.
-HEDGE_RESERVE = 3.0
+STRAGGLER_HEDGE_TOKENS = 3.0
 # How often within one hedge delay a hedge without a free slot is tried again.
-LOOKS_PER_DELAY = 8
+HEDGE_TRIES_PER_DELAY = 8
 MAX_HEDGES = 2
 # A server that has held a call for this many medians is taken to be stalled. A false
 # alarm only moves the next choice of a replica.
-STALL_RATIO = 3.0
+STALL_MEDIAN_FACTOR = 3.0
 # Shorter waits may come from this process and not from a server.
-SHORTEST_STALL = 0.01
+MIN_STALL_S = 0.01
 # How many waiting calls without a free replica are skipped per dispatch, so that a long
 # queue for one version costs a bounded time at each event.
-MAX_PASSED_OVER = 8
+MAX_SKIPPED_CALLS = 8
 
 
 def _always() -> bool:
@@ -129,12 +129,12 @@
         self._waiting = WaitingCalls()
         # Stragglers whose hedge waits for a free slot. Finished ones are removed when a
         # slot is freed.
-        self._blocked: dict[int, Progress] = {}
+        self._blocked_hedges: dict[int, Progress] = {}
         self._timers = CallTimers()
         self._attempt_ids = count(1)
-        self._recent = RecentLatencies(quantile=choose_quantile(service))
-        self._kinds = kinds or KindLatencies()
-        self._admission = Admission(recent=self._recent)
+        self._group_latencies = RecentLatencies(quantile=choose_quantile(service))
+        self._kind_latencies = kinds or KindLatencies()
+        self._admission = Admission(latencies=self._group_latencies)
         self._retries = Budget(
             share=service.retry_budget,
             burst=service.extra.retry_burst,
@@ -145,7 +145,7 @@
             burst=service.extra.hedge_burst,
             per_second=service.extra.hedges_per_second,
         )
-        self._opens_at = NEVER
+        self._capacity_opens_at = NEVER
         self._is_stopping = False
         self._n_calls = 0
         self._n_refused = 0
@@ -153,11 +153,11 @@
         self._n_hedges = 0
         self._n_budget_denials = 0
 
-    def _make_replica(self, server: Server, ramp_from: float = -NEVER) -> Replica:
+    def _make_replica(self, server: Server, ramp_starts_at: float = -NEVER) -> Replica:
         # Each data centre has one host that warms up its cold servers.
         is_near = server.data_centre == self.data_centre
         may_warm = self._may_warm if is_near else _never
-        return Replica(server=server, ramp_from=ramp_from, may_warm=may_warm)
+        return Replica(server=server, ramp_starts_at=ramp_starts_at, may_warm=may_warm)
 
     # Events.
 
@@ -200,14 +200,14 @@
         attempt = self._attempts.pop(ended.attempt_id, None)
         if attempt is None:
             return []
-        self._learn(attempt, ended, now)
+        self._record_end(attempt, ended, now)
         effects: list[Effect] = []
         progress = attempt.progress
         if progress is not None:
             progress.attempts.remove(attempt)
-            self._settle(progress, attempt, ended.outcome, now, effects)
+            self._handle_outcome(progress, attempt, ended.outcome, now, effects)
         if self._waiting:
-            self._hedge_blocked(now, effects)
+            self._start_blocked_hedges(now, effects)
             self._dispatch(now, effects)
         return effects
 
@@ -217,7 +217,7 @@
         if progress is None:
             return []
         effects: list[Effect] = []
-        self._give_up(progress, Reason.CANCELLED, effects)
+        self._end_unanswered(progress, Reason.CANCELLED, effects)
         return effects
 
     def observe(
@@ -228,7 +228,7 @@
             if replica.server.name != server:
                 continue
             if report is None:
-                replica.note_no_health(now=now, dice=self.random)
+                replica.note_no_health(now=now, rng=self.random)
             else:
                 replica.note_health(report, now=now)
         return self.advance(now=now)
@@ -239,7 +239,7 @@
         while (call_id := self._timers.pop_due(now)) is not None:
             progress = self._calls.get(call_id)
             if progress is not None and progress.attempts:
-                self._look_after(progress, now, effects)
+                self._run_timer(progress, now, effects)
         if self._waiting:
             self._dispatch(now, effects)
         return effects
@@ -263,7 +263,7 @@
         for server in group.servers:
             replica = known.pop((server.address, server.incarnation), None)
             if replica is None:
-                replica = self._make_replica(server, ramp_from=now)
+                replica = self._make_replica(server, ramp_starts_at=now)
             elif server.address not in staying or server.name != replica.server.name:
                 # The process at the address may be another one, so the old state does
                 # not apply.
@@ -276,7 +276,7 @@
         self.group = group
         self.service = service
         self.control = control
-        self._recent.quantile = choose_quantile(service)
+        self._group_latencies.quantile = choose_quantile(service)
         self._retries.replace(
             share=service.retry_budget,
             burst=service.extra.retry_burst,
@@ -305,7 +305,9 @@
         first_deadline = self._waiting.first_deadline
         if first_deadline is not None:
             wake = min(
-                wake, self._opens_at, first_deadline - self._admission.needed_time
+                wake,
+                self._capacity_opens_at,
+                first_deadline - self._admission.needed_time,
             )
         return None if wake == NEVER else wake
 
@@ -323,8 +325,8 @@
             n_budget_denials=self._n_budget_denials,
             retry_tokens=self._retries.tokens,
             hedge_tokens=self._hedges.tokens,
-            hedge_delay_ms=to_ms(self._recent.delay),
-            service_time_ms=to_ms(self._recent.mean),
+            hedge_delay_ms=to_ms(self._group_latencies.delay),
+            service_time_ms=to_ms(self._group_latencies.mean),
             is_stopping=self._is_stopping,
             servers=tuple(summarize_server(replica, now) for replica in self._replicas),
         )
@@ -354,10 +356,10 @@
 
     def _dispatch(self, now: float, effects: list[Effect]) -> None:
         waiting = self._waiting
-        for late in waiting.pop_late(now=now, needed=self._admission.needed_time):
+        for late in waiting.pop_expiring(now=now, needed=self._admission.needed_time):
             self._end_late(late, now, effects)
         index = 0
-        while index < min(len(waiting), MAX_PASSED_OVER) and self._has_room(now):
+        while index < min(len(waiting), MAX_SKIPPED_CALLS) and self._has_free_slot(now):
             progress = waiting[index]
             match self._choose(progress, now):
                 case Chosen() as chosen:
@@ -368,17 +370,17 @@
                     self._finish(progress, progress.get_failure() or outcome, effects)
                 case Busy():
                     index += 1
-        self._opens_at = min(
-            (replica.get_opening(now) for replica in self._replicas), default=NEVER
+        self._capacity_opens_at = min(
+            (replica.get_reopen_time(now) for replica in self._replicas), default=NEVER
         )
 
     def _end_late(self, progress: Progress, now: float, effects: list[Effect]) -> None:
         capacity = measure_capacity(self._replicas, now)
-        wait = self._admission.estimate_absence(len(self._waiting), capacity)
+        wait = self._admission.estimate_retry_delay(len(self._waiting), capacity)
         outcome = self._make_refusal(Step.QUEUE, Reason.DEADLINE, wait)
         self._finish(progress, progress.get_failure() or outcome, effects)
 
-    def _has_room(self, now: float) -> bool:
+    def _has_free_slot(self, now: float) -> bool:
         return any(r.in_flight < r.limit(now) for r in self._replicas)
 
     def _choose(self, progress: Progress, now: float) -> Choice:
@@ -397,14 +399,14 @@
             version=progress.call.version,
             excluded=excluded,
             tried=tried,
-            typical=self._find_typical(),
+            fastest_slowness=self._find_fastest_slowness(),
             now=now,
-            dice=self.random,
+            rng=self.random,
             data_centre=self.data_centre,
             allowed=progress.call.data_centres,
         )
 
-    def _find_typical(self) -> float:
+    def _find_fastest_slowness(self) -> float:
         """Return the slowness of the fastest replica, the baseline for the others.
 
         The group's mean would not do: it follows the replica that gets most calls, the
@@ -428,8 +430,10 @@
         )
 
     def _get_stall_limit(self, call: Call) -> float:
-        median = self._get_recent(call).median
-        return NEVER if median is None else max(SHORTEST_STALL, STALL_RATIO * median)
+        median = self._get_latencies(call).median
+        return (
+            NEVER if median is None else max(MIN_STALL_S, STALL_MEDIAN_FACTOR * median)
+        )
 
     def _start(
         self, progress: Progress, chosen: Chosen, cause: Cause, now: float
@@ -460,27 +464,36 @@
 
     # Ends of attempts and retries.
 
-    def _learn(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
+    def _record_end(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
         replica = attempt.replica
-        own = replica.in_flight
+        own_in_flight = replica.in_flight
         replica.in_flight -= 1
         if ended.report is not None:
-            replica.note_answer(ended.report, started=attempt.started, own=own, now=now)
+            replica.note_answer(
+                ended.report,
+                started=attempt.started,
+                own_in_flight=own_in_flight,
+                now=now,
+            )
         replica.note_end(
             ended.outcome,
-            elapsed=self._weigh(attempt.call, ended.elapsed),
+            elapsed=self._normalize_latency(attempt.call, ended.elapsed),
             fresh=attempt.fresh,
             now=now,
-            dice=self.random,
-            typical=self._find_typical(),
+            rng=self.random,
+            fastest_slowness=self._find_fastest_slowness(),
         )
-        if attempt.progress is None and self._is_overtaken(attempt, ended, now):
-            replica.add_blame(BLAME[Reason.DEADLINE], now=now, dice=self.random)
+        if attempt.progress is None and self._was_cancelled_as_slow(
+            attempt, ended, now
+        ):
+            replica.count_failure(
+                FAILURE_WEIGHTS[Reason.DEADLINE], now=now, rng=self.random
+            )
         # A hedge runs only when the first attempt is slow. If its fast answers were
         # counted, they would lower the quantile and cause more hedges.
         if attempt.cause == "hedge":
             return
-        for recent in {self._recent, self._get_recent(attempt.call)}:
+        for recent in {self._group_latencies, self._get_latencies(attempt.call)}:
             match ended.outcome:
                 case Answered():
                     recent.add(ended.elapsed)
@@ -488,22 +501,26 @@
                     if ended.elapsed >= (recent.median or 0.0):
                         recent.add(ended.elapsed)
 
-    def _get_recent(self, call: Call) -> RecentLatencies:
+    def _get_latencies(self, call: Call) -> RecentLatencies:
         """Return the recent latencies that a call is compared with."""
         if not call.kind:
-            return self._recent
-        return self._kinds.get(call.kind, quantile=self._recent.quantile)
+            return self._group_latencies
+        return self._kind_latencies.get(
+            call.kind, quantile=self._group_latencies.quantile
+        )
 
-    def _weigh(self, call: Call, elapsed: float) -> float:
+    def _normalize_latency(self, call: Call, elapsed: float) -> float:
         """Return the latency of an attempt in medians of its kind of call.
 
         In seconds, a replica that served long calls would look slower than one that
         served short calls, and idle near replicas would be passed over for remote ones.
         """
-        median = self._get_recent(call).median
+        median = self._get_latencies(call).median
         return elapsed / median if median else 1.0
 
-    def _is_overtaken(self, attempt: Attempt, ended: AttemptEnded, now: float) -> bool:
+    def _was_cancelled_as_slow(
+        self, attempt: Attempt, ended: AttemptEnded, now: float
+    ) -> bool:
         """Return whether an attempt was cancelled because its server was slow.
 
         A server that accepts calls and never answers shows no other sign, as each of
@@ -511,12 +528,12 @@
         """
         match ended.outcome:
             case Unknown(reason=Reason.CANCELLED):
-                delay = self._get_recent(attempt.call).delay
+                delay = self._get_latencies(attempt.call).delay
                 is_slow = delay is not None and ended.elapsed >= 2 * delay
                 return is_slow or now >= attempt.call.deadline
         return False
 
-    def _settle(
+    def _handle_outcome(
         self,
         progress: Progress,
         attempt: Attempt,
@@ -588,15 +605,15 @@
         due = self._get_hedge_time(progress)
         if due <= now:
             # The hedge was due but found no free slot or no token: try again soon.
-            pause = (self._get_recent(call).delay or 0.0) / LOOKS_PER_DELAY
-            due = now + max(SHORTEST_HEDGE_DELAY, pause)
+            pause = (self._get_latencies(call).delay or 0.0) / HEDGE_TRIES_PER_DELAY
+            due = now + max(MIN_HEDGE_DELAY_S, pause)
         due = min(due, call.deadline)
         self._timers.add(due, call.call_id)
         self._timers.drop_stale(self._calls, len(self._calls))
 
     def _get_hedge_time(self, progress: Progress) -> float:
         call = progress.call
-        recent = self._get_recent(call)
+        recent = self._get_latencies(call)
         if not call.idempotent:
             return NEVER
         if progress.n_hedges >= MAX_HEDGES or self._hedges.share <= 0.0:
@@ -605,13 +622,11 @@
             return NEVER
         started = progress.attempts[-1].started
         delay = choose_hedge_delay(recent, left=call.wanted_by - started)
-        return started + max(SHORTEST_HEDGE_DELAY, delay)
+        return started + max(MIN_HEDGE_DELAY_S, delay)
 
-    def _look_after(
-        self, progress: Progress, now: float, effects: list[Effect]
-    ) -> None:
+    def _run_timer(self, progress: Progress, now: float, effects: list[Effect]) -> None:
         if progress.call.deadline <= now:
-            self._give_up(progress, Reason.DEADLINE, effects)
+            self._end_unanswered(progress, Reason.DEADLINE, effects)
             return
         hedges = self._hedge(progress, now)
         effects.extend(hedges)
@@ -620,7 +635,7 @@
             and self._waiting
             and self._may_overtake(progress, now)
         ):
-            self._blocked[progress.call.call_id] = progress
+            self._blocked_hedges[progress.call.call_id] = progress
         # The next timer is for another hedge or for the deadline.
         self._set_timer(progress, now)
 
@@ -666,28 +681,28 @@
         is_short = len(self._waiting) <= n_slots
         return is_short and self._is_straggling(progress, now)
 
-    def _hedge_blocked(self, now: float, effects: list[Effect]) -> None:
+    def _start_blocked_hedges(self, now: float, effects: list[Effect]) -> None:
         """Hedge blocked stragglers before waiting calls take the free slot."""
-        for call_id, progress in list(self._blocked.items()):
+        for call_id, progress in list(self._blocked_hedges.items()):
             if call_id not in self._calls or not progress.attempts:
-                del self._blocked[call_id]
+                del self._blocked_hedges[call_id]
                 continue
             hedges = self._hedge(progress, now)
             effects.extend(hedges)
             if _has_started(hedges):
-                self._blocked.pop(call_id, None)
+                self._blocked_hedges.pop(call_id, None)
                 self._set_timer(progress, now)
 
     def _is_straggling(self, progress: Progress, now: float) -> bool:
         waited = now - progress.attempts[-1].started
-        median = self._get_recent(progress.call).median or 0.0
-        return waited >= STRAGGLER_RATIO * median
+        median = self._get_latencies(progress.call).median or 0.0
+        return waited >= STRAGGLER_MEDIAN_FACTOR * median
 
     def _is_reserved(self, progress: Progress, now: float) -> bool:
         """Return whether the remaining tokens are reserved for slower calls."""
         return (
             not self._is_straggling(progress, now)
-            and self._hedges.tokens < 1.0 + HEDGE_RESERVE
+            and self._hedges.tokens < 1.0 + STRAGGLER_HEDGE_TOKENS
         )
 
     # Outcomes.
@@ -699,7 +714,7 @@
 
     def _refuse_overload(self, progress: Progress, capacity: Capacity) -> FinishCall:
         self._n_refused += 1
-        wait = self._admission.estimate_absence(len(self._waiting), capacity)
+        wait = self._admission.estimate_retry_delay(len(self._waiting), capacity)
         refusal = self._make_refusal(Step.QUEUE, Reason.OVERLOADED, wait)
         return FinishCall(call=progress.call, outcome=refusal, server="", n_attempts=0)
 
@@ -708,7 +723,7 @@
     ) -> NotRun:
         retry_after_ms = 0
         if wait is not None:
-            retry_after_ms = suggest_retry_after(wait, self.random.random())
+            retry_after_ms = compute_retry_after_ms(wait, self.random.random())
         return NotRun(
             step=step,
             peer=self.group.name,
@@ -716,7 +731,7 @@
             retry_after_ms=retry_after_ms,
         )
 
-    def _give_up(
+    def _end_unanswered(
         self, progress: Progress, reason: Reason, effects: list[Effect]
     ) -> None:
         """End a call whose answer is no longer needed."""
--- a/src/lavendergap/coordination/timers.py
+++ b/src/lavendergap/coordination/timers.py
@@ -7,7 +7,7 @@
 
 # Timers of finished calls stay in the heap until they are due. Beyond this many the
 # heap is rebuilt, so that long deadlines do not use unbounded memory.
-MAX_STALE = 256
+MAX_STALE_TIMERS = 256
 
 
 class CallTimers:
@@ -50,7 +50,7 @@
 
     def drop_stale(self, live: Container[int], n_live: int) -> None:
         """Rebuild the heap without finished calls once it has too many timers."""
-        if len(self._heap) <= MAX_STALE + 2 * n_live:
+        if len(self._heap) <= MAX_STALE_TIMERS + 2 * n_live:
             return
         first: dict[int, float] = {}
         for due, call_id in self._heap:
--- a/src/lavendergap/coordination/warmup.py
+++ b/src/lavendergap/coordination/warmup.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-WINDOW = 1.0
+WINDOW_S = 1.0
 """Seconds over which the requests to a cold server are counted."""
 
 MAX_SENDERS = 3
@@ -15,7 +15,7 @@
 host is replaced; this many stay within the limit together.
 """
 
-FOREIGN_WAIT = 3.0
+OTHER_HOST_WAIT_S = 3.0
 """Seconds until a cold server that another host warms up is considered again.
 
 It should be warm by then. Calls that cannot wait so long are refused at once.
@@ -64,13 +64,13 @@
         """Record a request."""
         self._sent.append(now)
 
-    def get_opening(self, limit: int, now: float) -> float:
+    def get_reopen_time(self, limit: int, now: float) -> float:
         """Return when the next request may be sent; call it only if none may be now."""
         if limit <= 0 or not self._may_warm():
-            return now + FOREIGN_WAIT
+            return now + OTHER_HOST_WAIT_S
         self._forget(now)
-        return self._sent[-limit] + WINDOW if len(self._sent) >= limit else now
+        return self._sent[-limit] + WINDOW_S if len(self._sent) >= limit else now
 
     def _forget(self, now: float) -> None:
-        while self._sent and self._sent[0] <= now - WINDOW:
+        while self._sent and self._sent[0] <= now - WINDOW_S:
             self._sent.popleft()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,11 +5,11 @@
 import pytest
 
 from lavendergap.coordination.admission import (
-    LONGEST_RETRY_AFTER,
-    TARGET_PRESSURE,
-    Arrivals,
-    compute_level,
-    suggest_retry_after,
+    MAX_RETRY_AFTER_S,
+    TARGET_WAIT_SHARE,
+    ArrivalRate,
+    compute_admitted_share,
+    compute_retry_after_ms,
 )
 from lavendergap.state.outcome import NotRun, Reason
 
@@ -82,13 +82,13 @@
         assert owner.started[-1].call.call_id == 3
 
     def test_the_time_to_come_back_is_bounded(self):
-        assert suggest_retry_after(3_600.0, 0.0) == LONGEST_RETRY_AFTER * 1_000
-        assert suggest_retry_after(0.0, 0.0) == 20
+        assert compute_retry_after_ms(3_600.0, 0.0) == MAX_RETRY_AFTER_S * 1_000
+        assert compute_retry_after_ms(0.0, 0.0) == 20
 
 
 class TestArrivals:
     def test_a_rise_is_seen_within_a_second_and_a_pause_is_forgotten(self):
-        arrivals = Arrivals()
+        arrivals = ArrivalRate()
         for n in range(200):
             arrivals.add(now=n / 100)
         for n in range(1_000):
@@ -99,7 +99,7 @@
         assert arrivals.rate == pytest.approx(50, rel=0.05)
 
     def test_a_few_calls_at_once_are_no_rate(self):
-        arrivals = Arrivals()
+        arrivals = ArrivalRate()
         for _ in range(19):
             arrivals.add(now=1.0)
         assert arrivals.rate == 0.0
@@ -108,8 +108,8 @@
 class TestLevel:
     def test_a_longer_queue_admits_fewer_and_an_empty_one_more(self):
         levels = [
-            compute_level(demand=2.0, pressure=pressure)
-            for pressure in (0.0, TARGET_PRESSURE, 0.5, 9.0)
+            compute_admitted_share(demand=2.0, wait_share=wait_share)
+            for wait_share in (0.0, TARGET_WAIT_SHARE, 0.5, 9.0)
         ]
         assert levels == sorted(levels, reverse=True)
         assert (levels[1], levels[-1]) == (0.5, 0.0)
@@ -126,7 +126,7 @@
         """Serve 400 calls that come every 5 ms on one slot that takes about 10."""
         owner = make_owner("a", slots=1, seed=seed, hedge_budget=0.0)
         owner.warm_up()
-        dice = Random(seed)
+        rng = Random(seed)
         ends_at = 0.0
         answered = set()
         for n in range(400):
@@ -135,8 +135,8 @@
                 owner.move(ends_at - owner.now)
                 (start,) = owner.open.values()
                 answered.add(start.call.request_id)
-                owner.end(start.attempt_id, elapsed=dice.uniform(0.008, 0.012))
-                ends_at += dice.uniform(0.008, 0.012)
+                owner.end(start.attempt_id, elapsed=rng.uniform(0.008, 0.012))
+                ends_at += rng.uniform(0.008, 0.012)
             owner.move(arrives_at - owner.now)
             was_idle = not owner.open
             owner.submit(request_id=f"r-{n}")
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lavendergap.coordination.arrivals import (
-    DEFAULT_TRIP_MS,
-    MEMORY_S,
+    DEFAULT_ROUND_TRIP_MS,
+    TIME_LEFT_PERIOD_S,
     Arrival,
     Arrivals,
     compute_goal,
@@ -69,7 +69,7 @@
         opened = host.take(3_017, is_new=True)
         kept = host.take(3_023)
         assert (opened.spent_ms, kept.spent_ms) == (6.0, 0.0)
-        assert opened.trip_ms == kept.trip_ms == 6.0
+        assert opened.round_trip_ms == kept.round_trip_ms == 6.0
 
     def test_a_request_that_was_refused_before_has_spent_what_it_waited(self):
         host = Host()
@@ -82,7 +82,7 @@
         host = Host()
         host.settle()
         assert host.take(1_000, is_new=True).spent_ms == 0.0
-        assert host.take(3_017, is_new=True).trip_ms == 6.0
+        assert host.take(3_017, is_new=True).round_trip_ms == 6.0
 
     def test_callers_that_gave_more_time_are_forgotten(self):
         host = Host()
@@ -91,8 +91,10 @@
         host.take(15_000)
         assert host.take(3_023, now=1.0).spent_ms == 0.0
         for second in range(1, 100):
-            host.take(3_023, now=MEMORY_S + second)
-        assert host.take(3_017, is_new=True, now=MEMORY_S + 101).spent_ms == 6.0
+            host.take(3_023, now=TIME_LEFT_PERIOD_S + second)
+        assert (
+            host.take(3_017, is_new=True, now=TIME_LEFT_PERIOD_S + 101).spent_ms == 6.0
+        )
 
     def test_routes_have_times_of_their_own(self):
         host = Host()
@@ -105,24 +107,24 @@
     def test_it_is_assumed_until_it_is_measured(self):
         host = Host()
         host.take(3_023, is_new=True)
-        assert host.take(3_023).trip_ms == DEFAULT_TRIP_MS
+        assert host.take(3_023).round_trip_ms == DEFAULT_ROUND_TRIP_MS
 
     def test_near_callers(self):
         host = Host()
         for _ in range(8):
             host.take(398, is_new=True)
             host.take(400)
-        assert host.take(400).trip_ms == 2.0
+        assert host.take(400).round_trip_ms == 2.0
 
     def test_connections_that_waited_for_a_busy_host_do_not_decide(self):
         host = Host()
         host.settle()
         host.take(2_960, is_new=True)
-        assert host.take(3_023).trip_ms == 6.0
+        assert host.take(3_023).round_trip_ms == 6.0
 
 
 class TestGoal:
-    ARRIVAL = Arrival(spent_ms=2.0, trip_ms=5.0)
+    ARRIVAL = Arrival(spent_ms=2.0, round_trip_ms=5.0)
 
     def compute(self, route: Route) -> float:
         return compute_goal(route, self.ARRIVAL, reserve_ms=RESERVE_MS)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -7,8 +7,8 @@
 from lavendergap.coordination.calls import CancelAttempt, WithholdHedge
 from lavendergap.coordination.hedging import (
     MAX_KINDS,
+    MAX_SAMPLES,
     MIN_SAMPLES,
-    WINDOW,
     KindLatencies,
     RecentLatencies,
 )
@@ -27,10 +27,10 @@
 
     def test_a_slow_spell_is_forgotten(self):
         recent = RecentLatencies(quantile=0.95)
-        for latency in [1.0] * WINDOW + [0.010] * WINDOW:
+        for latency in [1.0] * MAX_SAMPLES + [0.010] * MAX_SAMPLES:
             recent.add(latency)
         assert recent.delay == 0.010
-        assert len(recent) == WINDOW
+        assert len(recent) == MAX_SAMPLES
 
 
 class TestKinds:
@@ -112,7 +112,7 @@
         )
         owner = make_owner(group=group, data_centre="ptl-a")
         owner.scheduler._replicas[1].note_end(
-            Answered(body=b""), elapsed=1.0, fresh=False, now=owner.now, dice=Random(1)
+            Answered(body=b""), elapsed=1.0, fresh=False, now=owner.now, rng=Random(1)
         )
         for kind, elapsed in [("quick", 0.003), ("search", 0.012)] * 16:
             owner.submit(kind=kind)
@@ -181,11 +181,11 @@
         # Hedged after the quantile of 0.95, one call in twenty would take the whole
         # budget of 0.05, and a real straggler would find it empty.
         owner = make_owner("ab", hedge_budget=0.05)
-        dice = Random(1)
+        rng = Random(1)
         for _ in range(3_000):
             owner.submit()
             first = owner.started[-1]
-            elapsed = 0.010 * dice.lognormvariate(0.0, 0.35)
+            elapsed = 0.010 * rng.lognormvariate(0.0, 0.35)
             owner.move(elapsed)
             owner.end(first.attempt_id, elapsed=elapsed)
             for attempt_id in list(owner.open):
@@ -335,7 +335,7 @@
                     owner.end(attempt_id, lose(Reason.CANCELLED), elapsed=0.001)
             else:
                 owner.end(first.attempt_id, elapsed=0.018)
-        assert (owner.scheduler._recent.delay or 0.0) > 0.010
+        assert (owner.scheduler._group_latencies.delay or 0.0) > 0.010
 
 
 class TestShareOfTheAllowance:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -5,32 +5,32 @@
 
 from lavendergap.coordination.choice import Chosen, NoneLeft, choose
 from lavendergap.coordination.replicas import (
-    ANSWER_LIFETIME,
-    DRAIN_MEMORY,
-    LONGEST_EJECTION,
-    SLOW_START,
+    ANSWER_LIFETIME_S,
+    DRAIN_LIFETIME_S,
+    MAX_EJECTION_S,
+    SLOW_START_S,
     Replica,
 )
 from lavendergap.state.outcome import Reason
 
 from .groups import ANSWER, lose, make_group, make_owner, make_report, refuse
 
-NOBODY: frozenset[Replica] = frozenset()
+NO_REPLICAS: frozenset[Replica] = frozenset()
 
 
 def make_replicas(names: str = "ab", *, slots: int = 2) -> list[Replica]:
     return [Replica(server=s) for s in make_group(names, slots=slots).servers]
 
 
-def pick(replicas, *, now=100.0, version=7, typical=0.010):
+def pick(replicas, *, now=100.0, version=7, fastest_slowness=0.010):
     return choose(
         replicas,
         version=version,
-        excluded=NOBODY,
-        tried=NOBODY,
-        typical=typical,
+        excluded=NO_REPLICAS,
+        tried=NO_REPLICAS,
+        fastest_slowness=fastest_slowness,
         now=now,
-        dice=Random(1),
+        rng=Random(1),
     )
 
 
@@ -40,12 +40,14 @@
 
 
 def answer(replica, state="serving", *, started=100.0, now=100.0, **report):
-    replica.note_answer(make_report(state, **report), started=started, own=0, now=now)
+    replica.note_answer(
+        make_report(state, **report), started=started, own_in_flight=0, now=now
+    )
 
 
 def fail(replica, reason=Reason.REFUSED_CONNECTION, *, now=100.0, fresh=False):
     outcome = refuse(reason) if reason is Reason.REFUSED_CONNECTION else lose(reason)
-    replica.note_end(outcome, elapsed=0.01, fresh=fresh, now=now, dice=Random(1))
+    replica.note_end(outcome, elapsed=0.01, fresh=fresh, now=now, rng=Random(1))
 
 
 class TestChoice:
@@ -59,8 +61,8 @@
 
     def test_a_slower_replica_is_avoided_until_its_past_fades(self):
         a, b = replicas = make_replicas()
-        a.note_end(ANSWER, elapsed=0.050, fresh=False, now=100.0, dice=Random(1))
-        b.note_end(ANSWER, elapsed=0.010, fresh=False, now=100.0, dice=Random(1))
+        a.note_end(ANSWER, elapsed=0.050, fresh=False, now=100.0, rng=Random(1))
+        b.note_end(ANSWER, elapsed=0.010, fresh=False, now=100.0, rng=Random(1))
         assert pick_name(replicas) == "b"
         b.in_flight = 1
         assert pick_name(replicas, now=101.0) == "b"
@@ -99,7 +101,7 @@
             spans.append(a.ejected_until - now)
             now = a.ejected_until
         assert spans[3] > 4 * spans[0]
-        assert max(spans) <= LONGEST_EJECTION * 1.2
+        assert max(spans) <= MAX_EJECTION_S * 1.2
 
     def test_one_lost_connection_is_no_proof_against_the_server(self):
         (a,) = make_replicas("a")
@@ -120,29 +122,29 @@
         fail(a)
         back = a.ejected_until
         assert pick_name(replicas, now=back) == "b"
-        limits = [a.limit(back + SLOW_START * share) for share in (0, 0.5, 1)]
+        limits = [a.limit(back + SLOW_START_S * share) for share in (0, 0.5, 1)]
         assert limits == [1, 1, 1]
-        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=back, dice=Random(1))
-        limits = [a.limit(back + SLOW_START * share) for share in (0, 0.5, 1)]
+        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=back, rng=Random(1))
+        limits = [a.limit(back + SLOW_START_S * share) for share in (0, 0.5, 1)]
         assert limits == [1, 3, 6]
 
     def test_a_server_back_on_trial_is_ejected_by_one_failure(self):
         (a,) = make_replicas("a")
         fail(a)
         back = a.ejected_until
-        assert a.limit(back + 2 * SLOW_START) == 1
+        assert a.limit(back + 2 * SLOW_START_S) == 1
         a.note_end(
             refuse(Reason.VERSION_GONE),
             elapsed=0,
             fresh=False,
             now=back,
-            dice=Random(1),
+            rng=Random(1),
         )
         assert a.ejected_until == back
         fail(a, Reason.DEADLINE, now=back)
         assert a.ejected_until > back
         end = a.ejected_until
-        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=end, dice=Random(1))
+        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=end, rng=Random(1))
         fail(a, Reason.DEADLINE, now=end)
         assert a.ejected_until == end
 
@@ -181,7 +183,7 @@
     def test_a_server_that_sheds_is_left_alone_as_long_as_it_asks(self):
         a, b = replicas = make_replicas()
         shed = refuse(Reason.SHED, retry_after_ms=200)
-        a.note_end(shed, elapsed=0.001, fresh=False, now=100.0, dice=Random(1))
+        a.note_end(shed, elapsed=0.001, fresh=False, now=100.0, rng=Random(1))
         b.in_flight = 1
         assert pick_name(replicas, now=100.19) == "b"
         assert pick_name(replicas, now=100.21) == "a"
@@ -199,16 +201,16 @@
         # saying "serving". Believed, it would get new calls until it is killed.
         a, _ = make_replicas()
         answer(a, "draining")
-        for second in range(1, int(DRAIN_MEMORY)):
+        for second in range(1, int(DRAIN_LIFETIME_S)):
             a.note_health(make_report("serving"), now=100.0 + second)
             assert a.state == "draining"
-        a.note_health(make_report("serving"), now=100.0 + DRAIN_MEMORY)
+        a.note_health(make_report("serving"), now=100.0 + DRAIN_LIFETIME_S)
         assert a.state == "serving"
 
     def test_a_restarted_server_is_taken_back(self):
         a, _ = make_replicas()
         answer(a, "draining")
-        a.note_no_health(now=101.0, dice=Random(1))
+        a.note_no_health(now=101.0, rng=Random(1))
         a.note_health(make_report("starting"), now=102.0)
         assert (a.state, a.limit(102.0)) == ("starting", 1)
         a.note_health(make_report("serving"), now=103.0)
@@ -273,7 +275,7 @@
         answer(a, versions=(6, 7))
         a.note_health(make_report(versions=(8,)), now=100.1)
         assert a.may_serve(7)
-        late = 100.1 + ANSWER_LIFETIME
+        late = 100.1 + ANSWER_LIFETIME_S
         a.note_health(make_report(versions=(8,)), now=late)
         assert not a.may_serve(7)
 
@@ -281,9 +283,9 @@
         (a,) = make_replicas("a")
         for second in range(10):
             now = 100.0 + second
-            a.note_no_health(now=now, dice=Random(1))
-            a.note_end(ANSWER, elapsed=0.01, fresh=False, now=now, dice=Random(1))
+            a.note_no_health(now=now, rng=Random(1))
+            a.note_end(ANSWER, elapsed=0.01, fresh=False, now=now, rng=Random(1))
         assert a.ejected_until <= 100.0
-        a.note_no_health(now=120.0, dice=Random(1))
-        a.note_no_health(now=121.0, dice=Random(1))
+        a.note_no_health(now=120.0, rng=Random(1))
+        a.note_no_health(now=121.0, rng=Random(1))
         assert a.ejected_until > 121.0
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -6,7 +6,7 @@
 
 from lavendergap.coordination.arrivals import Arrival, compute_goal
 from lavendergap.coordination.reserve import (
-    MEMORY_S,
+    MAX_SAMPLE_AGE_S,
     MIN_SAMPLES,
     AnswerReserve,
 )
@@ -26,7 +26,7 @@
     goal_ms=120,
     priority=1,
 )
-ARRIVAL = Arrival(spent_ms=0.0, trip_ms=6.0)
+ARRIVAL = Arrival(spent_ms=0.0, round_trip_ms=6.0)
 
 
 N_PARTS = 87
@@ -46,7 +46,9 @@
     def test_a_slow_host_stops_waiting_early_enough(self):
         reserve_ms = make_reserve(*SLOW_MS).get_ms(n_parts=N_PARTS, now=0.0)
         goal_ms = compute_goal(ROUTE, ARRIVAL, reserve_ms=reserve_ms)
-        late = [ms for ms in SLOW_MS if goal_ms + ms + ARRIVAL.trip_ms > ROUTE.goal_ms]
+        late = [
+            ms for ms in SLOW_MS if goal_ms + ms + ARRIVAL.round_trip_ms > ROUTE.goal_ms
+        ]
         assert len(late) <= len(SLOW_MS) / 4
 
     def test_a_fast_host_keeps_what_is_known_to_be_good(self):
@@ -83,6 +85,6 @@
 
     def test_a_busy_time_is_forgotten(self):
         reserve = make_reserve(*SLOW_MS)
-        assert reserve.get_ms(n_parts=N_PARTS, now=MEMORY_S) > self.EXPECTED_MS
-        later = reserve.get_ms(n_parts=N_PARTS, now=MEMORY_S + 1.0)
+        assert reserve.get_ms(n_parts=N_PARTS, now=MAX_SAMPLE_AGE_S) > self.EXPECTED_MS
+        later = reserve.get_ms(n_parts=N_PARTS, now=MAX_SAMPLE_AGE_S + 1.0)
         assert later == self.EXPECTED_MS
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lavendergap.coordination.calls import CancelAttempt, FinishCall, StartAttempt
-from lavendergap.coordination.timers import MAX_STALE
+from lavendergap.coordination.timers import MAX_STALE_TIMERS
 from lavendergap.state.outcome import Answered, NotRun, Reason, Step, Unknown
 from lavendergap.state.settings import Control, ExtraCalls, Group
 
@@ -203,7 +203,7 @@
         for _ in range(2_000):
             owner.submit(in_ms=3_600_000, idempotent=False)
             owner.end_last()
-        assert len(owner.scheduler._timers) <= MAX_STALE + 2
+        assert len(owner.scheduler._timers) <= MAX_STALE_TIMERS + 2
 
 
 class TestChange:
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -14,7 +14,7 @@
 
 from lavendergap.coordination.calls import Call, CancelAttempt, FinishCall, StartAttempt
 from lavendergap.coordination.scheduler import MAX_ATTEMPTS, MAX_HEDGES
-from lavendergap.coordination.timers import MAX_STALE
+from lavendergap.coordination.timers import MAX_STALE_TIMERS
 from lavendergap.state.outcome import Answered, NotRun, Reason, Unknown
 from lavendergap.state.settings import Address, Control, ExtraCalls
 
@@ -216,7 +216,7 @@
         assert len(scheduler._calls) == n_live
         assert set(scheduler._attempts) == set(self.owner.open)
         assert len(scheduler._waiting) <= 5 + 6
-        assert len(scheduler._timers) <= MAX_STALE + 2 * n_live + 1
+        assert len(scheduler._timers) <= MAX_STALE_TIMERS + 2 * n_live + 1
 
     @invariant()
     def nothing_waits_while_time_stands_still(self) -> None:
--- a/tests/test_slow_servers.py
+++ b/tests/test_slow_servers.py
@@ -53,7 +53,7 @@
     """One group's calls at random times, and servers that answer as told above."""
 
     owner: Owner
-    dice: Random
+    rng: Random
     rate: float
     is_near_slow: bool
     load: Load
@@ -65,7 +65,7 @@
 
     def play(self, seconds: float) -> None:
         self.began = self.owner.now + SETTLING
-        self.phases = {s: self.dice.random() * PAUSE_EVERY for s in NEAR + FAR}
+        self.phases = {s: self.rng.random() * PAUSE_EVERY for s in NEAR + FAR}
         stops_at = self.began + seconds
         next_call = self.owner.now
         while True:
@@ -77,7 +77,7 @@
             self.owner.now = max(self.owner.now, now)
             if now == next_call:
                 self._submit()
-                next_call += self.dice.expovariate(self.rate)
+                next_call += self.rng.expovariate(self.rate)
             elif now == next_end:
                 self._end(*self.ends.pop(self.ends.index(min(self.ends))))
             else:
@@ -97,7 +97,7 @@
 
     def _serve(self, start: StartAttempt) -> None:
         now = self.owner.now
-        work = WORK * self.dice.lognormvariate(0.0, SPREAD)
+        work = WORK * self.rng.lognormvariate(0.0, SPREAD)
         if self.is_near_slow and start.server == NEAR and now >= self.began:
             work *= SLOWER
         into_pause = (now + self.phases[start.server]) % PAUSE_EVERY
@@ -131,7 +131,7 @@
 def play(*, rate: float, is_near_slow: bool, seconds: float) -> Load:
     """Return what came of `N_GROUPS` groups with `rate` calls a second each."""
     load = Load()
-    dice = Random(1)
+    rng = Random(1)
     kinds = KindLatencies()
     group = Group(
         name="scheduler-00",
@@ -151,7 +151,7 @@
             seed=number,
         )
         GroupLoad(
-            owner=owner, dice=dice, rate=rate, is_near_slow=is_near_slow, load=load
+            owner=owner, rng=rng, rate=rate, is_near_slow=is_near_slow, load=load
         ).play(seconds)
     return load
 
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -12,7 +12,7 @@
 from lavendergap.coordination.catalog import ExtraCallBudget, build_catalog
 from lavendergap.coordination.placement import Placement
 from lavendergap.coordination.scheduler import GroupScheduler
-from lavendergap.coordination.warmup import MAX_SENDERS, WINDOW, WarmupBound
+from lavendergap.coordination.warmup import MAX_SENDERS, WINDOW_S, WarmupBound
 from lavendergap.state.outcome import NotRun, Reason
 from lavendergap.state.registry import RegisteredServer
 from lavendergap.state.routes import OneOf, Route, RouteTable, WeightedGroup
@@ -107,14 +107,14 @@
         """Have a host take itself for the only one that is live."""
         self.views[host] = {host: self.places[host]}
 
-    def play(self, rate: float, seconds: float, dice: Random) -> None:
+    def play(self, rate: float, seconds: float, rng: Random) -> None:
         """Have callers reach hosts at random, `rate` times a second in all."""
         now = 100.0
         ends_at = now + seconds
         while now < ends_at:
-            now += dice.expovariate(rate)
+            now += rng.expovariate(rate)
             self._finish(now)
-            host = dice.choice(list(self.owners))
+            host = rng.choice(list(self.owners))
             self._submit(host, now)
 
     def _submit(self, host: str, now: float) -> None:
@@ -144,7 +144,7 @@
         times = sorted(self.sent.get(f"i-{place}", ()))
         return max(
             (
-                bisect_right(times, time) - bisect_right(times, time - WINDOW)
+                bisect_right(times, time) - bisect_right(times, time - WINDOW_S)
                 for time in times
             ),
             default=0,
