--- a/src/lavendergap/coordination/choice.py
+++ b/src/lavendergap/coordination/choice.py
@@ -71,7 +71,7 @@
         # from this attempt count too, so that a hedge is not sent to the one server
         # that drains.
         possible = [r for r in serving if not r.state_from_answer]
-        note = " (all said to drain: failing open)"
+        note = " (all reported draining: failing open)"
     if not possible:
         return NoneLeft(reason=_explain_none(replicas, version))
     healthy = [r for r in possible if r.ejected_until <= now]
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""What is known of replicas, and which one is chosen."""
+"""State of replicas and the choice of one."""
 
 from dataclasses import replace
 from random import Random
@@ -69,9 +69,8 @@
         assert pick_name(replicas, now=110.0) == "a"
 
     def test_all_replicas_ejected_means_all_are_candidates(self):
-        # The switch above this host fails for a moment, and every attempt is
-        # refused. Were all servers ejected, every call would be refused unsent for
-        # as long as the ejections last, although the servers are well.
+        # Guards against refusing every call when a network failure on this host's side
+        # has ejected all servers.
         a, b = replicas = make_replicas()
         fail(a)
         assert pick_name(replicas) == "b"
@@ -116,8 +115,8 @@
         assert a.ejected_until > 100.0
 
     def test_a_server_comes_back_gradually(self):
-        # A restarted server has cold caches. All slots at once would make its first
-        # answers late together, and eject it again.
+        # Guards against filling all slots of a server with cold caches, which would
+        # make its answers late and eject it again.
         a, b = replicas = make_replicas("ab", slots=6)
         fail(a)
         back = a.ejected_until
@@ -149,8 +148,8 @@
         assert a.ejected_until == end
 
     def test_a_hanging_server_is_ejected_though_hedges_save_its_calls(self):
-        # The server accepts and never answers. Hedges overtake its calls, so no call
-        # fails, but each costs a token; when those are spent, queries lose a shard.
+        # Guards against a server that never answers and spends the hedge budget, as no
+        # call fails.
         owner = make_owner("ab", hedge_budget=0.3)
         owner.warm_up()
         was_ejected = False
@@ -167,8 +166,8 @@
         assert was_ejected
 
     def test_a_hanging_server_is_ejected_by_its_deadlines(self):
-        # The server accepts and never answers. The calls are cancelled at their
-        # deadline by us, so the transport reports nothing but its own cancellation.
+        # Guards against a server that never answers but whose attempts are only
+        # reported as cancelled.
         owner = make_owner("ab", slots=1)
         owner.observe("b", make_report("draining"))
         for _ in range(3):
@@ -197,8 +196,8 @@
         assert pick_name(replicas) == "b"
 
     def test_a_health_endpoint_that_lies_brings_no_work_to_a_leaving_server(self):
-        # The server drains and says so in its answers; its health endpoint goes on
-        # saying "serving". Believed, it would get new calls until it is killed.
+        # Guards against new calls to a draining server whose health endpoint still
+        # reports "serving".
         a, _ = make_replicas()
         answer(a, "draining")
         for second in range(1, int(DRAIN_LIFETIME_S)):
@@ -217,30 +216,31 @@
         assert a.state == "serving"
 
     def test_an_answer_from_before_the_drain_does_not_undo_it(self):
-        # Two answers cross: the later one left the server before the drain began.
+        # Guards against an older answer that arrives after the one that reported the
+        # drain.
         a, _ = make_replicas()
         answer(a, "draining", started=99.9, now=100.0)
         answer(a, "serving", started=99.8, now=100.1)
         assert a.state == "draining"
 
     def test_all_said_to_drain_by_health_alone_is_put_to_the_test(self):
-        # The health endpoints of all replicas mislead. Believed, the shard would be
-        # missing from every answer; one attempt gets the truth from the server.
+        # Guards against losing a shard when all health endpoints wrongly report
+        # "draining".
         a, b = replicas = make_replicas()
         a.note_health(make_report("draining"), now=100.0)
         b.note_health(make_report("draining"), now=100.0)
-        assert "all said to drain" in pick(replicas).why
+        assert "all reported draining" in pick(replicas).why
         answer(a, "draining", started=100.1, now=100.2)
         answer(b, "draining", started=100.1, now=100.2)
         assert pick(replicas) == NoneLeft(reason=Reason.NO_REPLICA)
 
 
 class TestAddressTaken:
-    """A server has gone, and another service's has its address; the registry lags."""
+    """A server is gone and another service's has its address; the registry is late."""
 
     def test_one_refusal_is_enough(self):
-        # Each query would go on calling there, and the server that has moved in sees
-        # twice the calls of each: its group's budget of extra calls was exceeded.
+        # Guards against further calls to the new server, beyond its group's budget of
+        # extra calls.
         owner = make_owner("ab")
         for _ in range(20):
             owner.submit()
