--- a/tests/groups.py
+++ b/tests/groups.py
@@ -1,4 +1,4 @@
-"""Groups, calls and schedulers for the tests of the owner's decisions."""
+"""Groups, calls and schedulers for the tests of the group scheduler."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -84,7 +84,7 @@
 
 @dataclass
 class Owner:
-    """Drives a scheduler by hand: `now` moves only when a test says so."""
+    """Drives a scheduler by hand; `now` moves only when a test moves it."""
 
     scheduler: GroupScheduler
     now: float = 100.0
@@ -168,17 +168,19 @@
         self.take(self.scheduler.observe(server, report, now=self.now))
 
     def move(self, seconds: float) -> None:
-        """Let time pass, waking the scheduler whenever it asked for it."""
+        """Let time pass and call `advance` whenever the scheduler has something due."""
         until = self.now + seconds
         while (wake := self.scheduler.next_wake()) is not None and wake <= until:
             self.now = max(self.now, wake)
             self.take(self.scheduler.advance(now=self.now))
             again = self.scheduler.next_wake()
-            assert again is None or again > self.now, "it would spin"
+            assert again is None or again > self.now, (
+                "advance would be called in a loop"
+            )
         self.now = until
 
     def warm_up(self, n_calls: int = 64, elapsed: float = 0.010) -> None:
-        """Run calls so that the scheduler knows how long they take."""
+        """Run calls so that the scheduler has latencies."""
         for _ in range(n_calls):
             self.submit()
             self.now += elapsed
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what may wait, in which order, and what is refused at once."""
+"""Admission of calls to a group: which may wait, in what order, which are refused."""
 
 from random import Random
 
@@ -18,9 +18,8 @@
 
 class TestAdmission:
     def test_a_call_that_can_not_finish_is_refused_at_once(self):
-        # Twice the calls arrive that two slots can serve. Were all queued, each
-        # would wait most of its deadline, be started too late, and be thrown away:
-        # the servers work at full load and nobody gets an answer.
+        # Guards against queueing twice the calls that the slots can serve, which would
+        # all be started too late.
         owner = make_owner("a", slots=1, queue_limit=100)
         owner.warm_up(elapsed=0.100)
         for _ in range(8):
@@ -45,8 +44,7 @@
         assert [s.call.call_id for s in owner.started] == [1, 3, 4, 2]
 
     def test_the_most_urgent_is_served_first_whatever_its_deadline(self):
-        # An operator ranks a search over a quick look with a shorter deadline. Of
-        # those that wait, the searches go first, each by its deadline.
+        # Guards against a short deadline going before a higher priority.
         owner = make_owner("a", slots=1)
         for in_ms, priority in ((500, 2), (300, 2), (500, 1), (400, 1)):
             owner.submit(in_ms=in_ms, priority=priority)
@@ -115,9 +113,8 @@
         assert (levels[1], levels[-1]) == (0.5, 0.0)
 
     def test_groups_under_overload_admit_the_same_queries(self):
-        # Twice the load arrives, and each group refuses half of its calls. If each
-        # chose its own half, hardly a query over 20 groups would be whole: all
-        # servers are busy, and every caller gets a board with holes.
+        # Guards against groups that each refuse other queries, so that hardly any query
+        # over many groups is complete.
         first, second = self.serve(seed=1), self.serve(seed=2)
         assert len(first & second) > 0.9 * len(first)
         assert 85 < len(first) < 115
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -1,8 +1,8 @@
-"""What callers waited before their requests were read, and what answers leave for it.
+"""Estimates of the callers' wait before a request is read and after its answer.
 
-Callers 3 ms away give a search 3,024 ms and want it within 248; the figures are those
-of a deployment of 73 hosts. A kept connection's request states 3,023, a new one's 3,017
-or 3,016, since opening it took a trip there and back.
+Callers 3 ms away give a search 3,024 ms and want it within 248. A request on a kept
+connection states 3,023, one on a new connection 3,017 or 3,016, since opening it took a
+round trip.
 """
 
 import pytest
@@ -35,7 +35,7 @@
 
 
 class Host:
-    """A host that takes requests, each on a new connection or a kept one."""
+    """A host that receives requests, each on a new connection or a kept one."""
 
     def __init__(self) -> None:
         self.arrivals = Arrivals()
@@ -62,8 +62,8 @@
 
 class TestSpent:
     def test_a_new_connection_has_cost_its_request_a_trip(self):
-        # The caller has waited 6 ms when its request comes. Answered 12 ms before the
-        # goal as this host sees it, the answer is there 1 ms after it: late.
+        # Guards against answers that miss the goal by the time it took to open the
+        # connection.
         host = Host()
         host.settle()
         opened = host.take(3_017, is_new=True)
@@ -77,8 +77,8 @@
         assert host.take(2_963, is_new=True).spent_ms == 60.0
 
     def test_a_caller_that_gives_less_time_has_spent_nothing(self):
-        # Another program asks for the same with a time limit of its own: taken for a
-        # wait, it would get answers cut short for nothing.
+        # Guards against taking another program's shorter time limit for time spent,
+        # which would cut its answers short.
         host = Host()
         host.settle()
         assert host.take(1_000, is_new=True).spent_ms == 0.0
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -13,7 +13,8 @@
         assert n_spent == 3 + 50 - 1 or n_spent == 3 + 50
 
     def test_a_quiet_time_saves_no_more_than_the_burst(self):
-        # A night without stragglers must not pay for a volley at dawn.
+        # Guards against tokens saved in a quiet time being spent in one burst of extra
+        # calls.
         budget = Budget(share=0.5, burst=2.0, per_second=1.0)
         for _ in range(1_000):
             budget.earn()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Admission of whole queries at the host that callers reach."""
+"""Admission of whole queries on a host."""
 
 from random import Random
 
@@ -15,47 +15,44 @@
 from lavendergap.entry.admission import GateKeeper
 from lavendergap.state.outcome import NotRun, Reason
 
-DEADLINE = 0.28
+DEADLINE_S = 0.28
 
 
 class TestGate:
     def test_refuses_at_once_what_cannot_start_in_time(self):
-        # A caller arrives with hundreds before it. It is told "not run" in the same
-        # instant, with a time to come back, since by the time that its turn came
-        # nothing would be left of its deadline.
+        # Guards against queueing queries that could only start after most of their
+        # deadline.
         gate = Gate()
-        verdicts = [gate.enter(now=0.0, left=DEADLINE) for _ in range(500)]
+        verdicts = [gate.enter(now=0.0, left=DEADLINE_S) for _ in range(500)]
         refused = [v for v in verdicts if isinstance(v, NotRun)]
         assert len(refused) > 400
         assert all(v.reason is Reason.OVERLOADED for v in refused)
         assert all(v.retry_after_ms > 0 for v in refused)
 
     def test_quiet_hour_does_not_narrow_the_gate(self):
-        # Nobody asks for an hour, then all callers arrive within one minute. Were
-        # the rate counted from arrivals, the hour would count as slowness and the
-        # first burst be refused.
+        # Guards against estimating capacity from arrivals, which would refuse the first
+        # burst after a quiet hour.
         gate = Gate()
         for turn in range(50):
-            gate.enter(now=turn * 0.02, left=DEADLINE)
+            gate.enter(now=turn * 0.02, left=DEADLINE_S)
             gate.leave(now=turn * 0.02 + 0.015, started=turn * 0.02, is_congested=False)
-        verdicts = [gate.enter(now=3_600.0, left=DEADLINE) for _ in range(20)]
+        verdicts = [gate.enter(now=3_600.0, left=DEADLINE_S) for _ in range(20)]
         assert not any(isinstance(v, NotRun) for v in verdicts)
 
     def test_one_burst_of_late_queries_shrinks_the_limit_once(self):
-        # Ten queries that entered together all find the queues full. They speak of
-        # one moment; counted one by one they would shrink the limit to nothing.
+        # Guards against a cut for each query of one burst, which would reduce the limit
+        # to its minimum.
         gate = Gate()
         gate.limit = 10.0
         for _ in range(10):
-            assert gate.enter(now=0.0, left=DEADLINE) == Entered()
+            assert gate.enter(now=0.0, left=DEADLINE_S) == Entered()
         for _ in range(10):
             gate.leave(now=0.2, started=0.0, is_congested=True)
         assert gate.limit == 8.5
 
     def test_settles_where_the_slots_are_busy(self):
-        # Twice what the slots can do arrives. The limit must settle near what is
-        # served at once (here 4 slots, 10 ms a call), neither at its floor nor far
-        # above, where each query would wait in queues until its deadline.
+        # Guards against a limit at its minimum or far above the 4 slots, under twice
+        # the load that they can serve.
         limits = run_overload(n_slots=4, service_s=0.01, rate=800.0, duration=20.0)
         settled = limits[len(limits) // 2 :]
         mean = sum(settled) / len(settled)
@@ -63,30 +60,26 @@
         assert min(settled) > MIN_LIMIT
 
     def test_learns_how_long_queries_take_from_congested_ones(self):
-        # All callers come at once, and every query ends late. Had the gate learnt
-        # only from those in time, it would go on to think that one takes 20 ms,
-        # have callers wait for a place that does not come, and refuse them late.
+        # Guards against a mean time from uncongested queries only, with which callers
+        # would be refused late.
         gate = Gate()
         gate.limit = 1.0
         for turn in range(30):
-            gate.enter(now=turn * 0.2, left=DEADLINE)
+            gate.enter(now=turn * 0.2, left=DEADLINE_S)
             gate.leave(now=(turn + 1) * 0.2, started=turn * 0.2, is_congested=True)
-        assert gate.enter(now=6.0, left=DEADLINE) == Entered()
-        assert isinstance(gate.enter(now=6.0, left=DEADLINE), NotRun)
+        assert gate.enter(now=6.0, left=DEADLINE_S) == Entered()
+        assert isinstance(gate.enter(now=6.0, left=DEADLINE_S), NotRun)
 
     def test_service_time_is_not_taken_for_a_queue(self):
-        # Calls that take a third of the deadline on idle servers. Taken for a sign
-        # of queues, they would shrink the limit to one query for each host, and
-        # callers be refused while slots are free.
-        assert not is_slow([0.09] * 20, limit=DEADLINE)
-        assert is_slow([0.2] * 20, limit=DEADLINE)
+        # Guards against taking calls that are slow on idle servers for queueing.
+        assert not is_slow([0.09] * 20, limit=DEADLINE_S)
+        assert is_slow([0.2] * 20, limit=DEADLINE_S)
 
 
 class TestWeights:
     def test_services_share_a_busy_host_by_their_weights(self):
-        # Two services have far more callers than their host can serve. One weighs
-        # three times the other. Without weights each would get half, and the one
-        # that matters more would have no way to say so.
+        # Guards against shares that follow the number of callers instead of the
+        # weights.
         light, heavy = share_pool(weights=(1.0, 3.0))
         assert 2.0 <= heavy / light <= 4.5
         even = share_pool(weights=(1.0, 1.0))
@@ -96,8 +89,8 @@
 def share_pool(*, weights: tuple[float, float]) -> list[int]:
     """Return how many queries of each service one pool of 8 places served.
 
-    Both are always at their limit; a query is slow when it waited for a place, and
-    which service's turn it is comes from a seeded draw.
+    Both services are always at their limit, and their order is random. A query is late
+    if it waited too long for a place.
     """
     gates = [Gate(weight=weight) for weight in weights]
     random = Random(3)
@@ -111,7 +104,7 @@
 
     while now < 60.0:
         for which in random.sample(range(2), 2):
-            while gates[which].enter(now=now, left=DEADLINE) == Entered():
+            while gates[which].enter(now=now, left=DEADLINE_S) == Entered():
                 running.append((*place(free_at, now, draw()), which))
         running.sort()
         end, started, late, which = running.pop(0)
@@ -126,7 +119,7 @@
 def run_overload(
     *, n_slots: int, service_s: float, rate: float, duration: float
 ) -> list[float]:
-    """Return the gate's limits over time in front of a first-come-first-served pool."""
+    """Return the limits over time for a first-come-first-served pool under overload."""
     gate = Gate()
     random = Random(7)
     free_at = [0.0] * n_slots
@@ -140,7 +133,7 @@
             ends.remove((end, started, late))
             while (gate.pop_ready()) is not None:
                 ends.append(place(free_at, end, service_s))
-        if gate.enter(now=now, left=DEADLINE) == Entered():
+        if gate.enter(now=now, left=DEADLINE_S) == Entered():
             ends.append(place(free_at, now, service_s))
         limits.append(gate.limit)
     return limits
@@ -149,17 +142,16 @@
 def place(
     free_at: list[float], now: float, service_s: float
 ) -> tuple[float, float, bool]:
-    """Return end, start and lateness of a query that takes the first free slot."""
+    """Return the end, start and lateness of a query in the first free slot."""
     slot = min(range(len(free_at)), key=free_at.__getitem__)
     free_at[slot] = max(now, free_at[slot]) + service_s
-    return free_at[slot], now, free_at[slot] - now > 0.3 * DEADLINE
+    return free_at[slot], now, free_at[slot] - now > 0.3 * DEADLINE_S
 
 
 class TestGateKeeper:
     async def test_room_of_a_caller_that_left_goes_to_the_next(self, autojump_clock):
-        # A caller waits at the gate and leaves just as it is given room. Unless the
-        # room is given back the gate narrows by one with each such caller, until
-        # nobody enters.
+        # Guards against losing a place when a caller leaves just as its query is
+        # admitted.
         keeper = GateKeeper()
         keeper.gate.limit = 1.0
         assert await keeper.enter(deadline=trio.current_time() + 10) is None
@@ -172,8 +164,8 @@
         assert await keeper.enter(deadline=trio.current_time() + 10) is None
 
     async def test_late_place_is_refused_before_the_deadline(self, autojump_clock):
-        # The queries ahead take longer than foreseen. The caller is told while it
-        # still has time to ask elsewhere, not at its deadline.
+        # Guards against a refusal at the deadline, too late for the caller to try
+        # elsewhere.
         keeper = GateKeeper()
         keeper.gate.limit = 1.0
         start = trio.current_time()
@@ -185,9 +177,8 @@
     async def test_late_place_is_refused_with_most_of_the_time_left(
         self, autojump_clock
     ):
-        # Callers who are refused have to ask elsewhere. Were they told after more
-        # than half of their time, as once measured under overload, the other place
-        # could not answer in time either.
+        # Guards against a refusal that leaves too little time for another host to
+        # answer.
         keeper = GateKeeper()
         keeper.gate.limit = 1.0
         start = trio.current_time()
@@ -198,8 +189,8 @@
     def test_waiting_comes_before_refusing(self):
         gate = Gate()
         gate.limit = 1.0
-        assert gate.enter(now=0.0, left=DEADLINE) == Entered()
-        assert isinstance(gate.enter(now=0.0, left=DEADLINE), Waiting)
+        assert gate.enter(now=0.0, left=DEADLINE_S) == Entered()
+        assert isinstance(gate.enter(now=0.0, left=DEADLINE_S), Waiting)
 
 
 async def wait_and_leave(keeper: GateKeeper) -> None:
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: the delay, the budget, and when it must not happen."""
+"""Hedging: the delay, the budget, and when no hedge is sent."""
 
 from dataclasses import replace
 from random import Random
@@ -34,15 +34,11 @@
 
 
 class TestKinds:
-    """Quick looks of 3 ms beside searches of 10 ms, over 90 groups.
-
-    A group gets a few calls a second, one in four a quick look. The figures are those
-    of a signage operator with 90 shards of three servers.
-    """
+    """Lookups of 3 ms next to searches of 10 ms, in groups with few calls."""
 
     def test_a_quick_look_is_hedged_by_the_time_of_quick_looks(self):
-        # Its server has turned slow. Held against searches, it was hedged when too
-        # little of its 33 ms was left for the second server.
+        # Guards against comparing a lookup with searches, so that its hedge comes too
+        # late for its goal.
         kinds = KindLatencies()
         for _ in range(30):
             kinds.get("quick", quantile=0.9).add(0.003)
@@ -63,8 +59,8 @@
         assert [start.cause for start in owner.started] == ["first"]
 
     def test_a_hedge_leaves_time_for_the_second_call(self):
-        # A third of the servers is slow: the quantile, and what is far beyond the
-        # third quartile, is most of the goal. Hedged then, a call would be late.
+        # Guards against a late hedge when a third of the servers is slow and the
+        # quantile is most of the goal.
         kinds = KindLatencies()
         for latency in [0.012] * 40 + [0.080] * 24:
             kinds.get("search", quantile=0.9).add(latency)
@@ -74,8 +70,7 @@
         assert owner.started[-1].cause == "hedge"
 
     def test_a_host_that_has_seen_no_call_hedges_by_the_goal(self):
-        # A lookup comes to one of 77 hosts, which has seen none for a minute, and its
-        # server is slow. It was waited for until the caller's deadline.
+        # Guards against no hedge at all on a host without recent latencies.
         owner = make_owner("ab")
         owner.submit(kind="lookup", goal_ms=340, in_ms=1_500)
         owner.move(0.169)
@@ -84,8 +79,8 @@
         assert owner.started[-1].cause == "hedge"
 
     def test_what_other_groups_have_seen_tells_when_to_hedge(self):
-        # A group's first call, at a server that is slow: eight calls of its own, that
-        # it has not seen, would take it several seconds.
+        # Guards against no hedge in a group's first calls although other groups have
+        # latencies of this kind.
         kinds = KindLatencies()
         seen = make_owner("ab", kinds=kinds)
         for _ in range(8):
@@ -98,9 +93,8 @@
         assert owner.started[-1].cause == "hedge"
 
     def test_a_near_replica_that_had_searches_is_as_fast_as_one_that_had_looks(self):
-        # The remote replica's last call was a quick look, the near one's a search.
-        # In seconds the near one would be over three times as slow, and its group
-        # would be asked across data centres for nothing.
+        # Guards against comparing latencies of different kinds in seconds, which would
+        # send calls to another data centre.
         group = Group(
             name="scheduler-00",
             servers=tuple(
@@ -132,8 +126,7 @@
 
 class TestHedge:
     def test_a_straggler_is_overtaken_and_cancelled(self):
-        # One replica pauses for a collection of garbage. The caller would wait for
-        # it, although the other replica has a free slot and answers in 10 ms.
+        # Guards against waiting for a paused replica while another one has a free slot.
         owner = make_owner("ab")
         owner.warm_up()
         owner.submit()
@@ -149,7 +142,7 @@
         assert owner.scheduler.describe(now=owner.now).n_in_flight == 0
 
     def test_a_server_that_has_moved_may_get_the_hedge(self):
-        """Guards against taking another process for the one that holds up the call."""
+        """Guards against taking a new process for the one that holds up the call."""
         owner = make_owner("a")
         owner.warm_up()
         owner.submit()
@@ -167,8 +160,7 @@
         assert (owner.started[-1].cause, len(owner.open)) == ("hedge", 2)
 
     def test_a_second_hedge_overtakes_two_slow_attempts(self):
-        # With 85 shards a query meets a call whose hedge straggles too in 3 of 100
-        # cases if 1 of 50 attempts does. Without another one it waits for both.
+        # Guards against waiting for a slow attempt and a slow hedge.
         owner = make_owner("ab")
         owner.warm_up()
         owner.submit()
@@ -178,8 +170,7 @@
         assert len(owner.open) == 3
 
     def test_merely_slow_calls_leave_the_budget_to_stragglers(self):
-        # Hedged after the quantile of 0.95, one call in twenty would take the whole
-        # budget of 0.05, and a real straggler would find it empty.
+        # Guards against hedges of slightly slow calls that spend the whole budget.
         owner = make_owner("ab", hedge_budget=0.05)
         rng = Random(1)
         for _ in range(3_000):
@@ -193,9 +184,8 @@
         assert owner.scheduler.describe(now=owner.now).n_budget_denials <= 10
 
     def test_calls_that_take_equally_long_leave_tokens_to_stragglers(self):
-        # All calls take 10 ms, so the quantile is 10 ms too and each of them is due
-        # for a hedge just as it is answered. They took every token, and one call in
-        # 50 that took 20 times as long was not hedged: as slow as without hedging.
+        # Guards against calls of equal latency, all due for a hedge as they are
+        # answered, spending every token.
         owner = make_owner("ab", hedge_budget=0.05)
         owner.warm_up(n_calls=64, elapsed=0.010)
         for _ in range(90):
@@ -211,8 +201,7 @@
         assert (hedge.cause, hedge.call) == ("hedge", straggler)
 
     def test_stragglers_among_the_last_calls_do_not_put_hedges_off(self):
-        # Chance brought four stragglers among a hundred calls. The quantile is then
-        # their time, and each of the next stragglers was waited for to its end.
+        # Guards against a quantile raised to a straggler's latency by a few stragglers.
         owner = make_owner("ab")
         owner.warm_up(n_calls=96, elapsed=0.010)
         owner.warm_up(n_calls=4, elapsed=0.200)
@@ -222,8 +211,8 @@
         assert owner.started[-1].cause == "hedge"
 
     def test_a_hedge_takes_a_slot_soon_after_it_frees(self):
-        # Bursts keep all slots busy when a hedge is due. It looked again after half
-        # the delay only, by when the next burst had come.
+        # Guards against trying a blocked hedge again so late that the next burst has
+        # taken the slots.
         owner = make_owner("ab", slots=1)
         owner.warm_up()
         slow = owner.submit()
@@ -235,9 +224,7 @@
         assert (hedge.cause, hedge.call) == ("hedge", slow)
 
     def test_a_new_owner_hedges_after_its_first_calls(self):
-        # A group had not been asked for in 15 s, so its owner starts anew. Its first
-        # 32 calls were not hedged: of the queries of the first second a third met a
-        # straggler and waited for it.
+        # Guards against a new owner waiting for many calls before it hedges.
         owner = make_owner("ab")
         owner.warm_up(n_calls=10)
         owner.submit()
@@ -262,9 +249,8 @@
         assert owner.started[-1].cause == "first"
 
     def test_a_straggler_comes_before_a_short_queue(self):
-        # All slots are taken, one by a straggler, and a call waits. Given to that
-        # call, each slot that comes free would pass the straggler by for as long as
-        # anybody waits, and its whole query with it; the call loses one slot's time.
+        # Guards against a straggler that delays its whole query while each free slot
+        # goes to a waiting call.
         owner = make_owner("ab", slots=1)
         owner.warm_up()
         straggler = owner.submit()
@@ -281,8 +267,7 @@
         assert owner.started[-1].call is waiting
 
     def test_no_hedge_while_more_calls_wait_than_there_are_slots(self):
-        # Under overload every call is slow. Hedges would take the slots that the
-        # waiting calls need, and make the overload worse.
+        # Guards against hedges that make an overload worse.
         owner = make_owner("ab", slots=1)
         owner.warm_up()
         owner.submit()
@@ -306,8 +291,7 @@
         assert owner.started[-1].cause == "hedge"
 
     def test_when_all_calls_are_slow_the_budget_holds(self):
-        # The whole group turns ten times slower. Each call is now beyond the old
-        # quantile, and without a budget the load would double at the worst time.
+        # Guards against doubling the load when the whole group turns slow.
         owner = make_owner("ab", slots=2, hedge_budget=0.01)
         owner.warm_up(n_calls=256)
         for _ in range(200):
@@ -320,8 +304,8 @@
         assert 0 < n_hedges <= 3 + 0.01 * 456
 
     def test_cut_stragglers_stay_in_the_quantile(self):
-        # Each hedge cancels the slow attempt. Left out, only fast answers would be
-        # seen, the delay would sink, and ever more calls would be hedged.
+        # Guards against dropping cancelled attempts from the latencies, which would
+        # cause ever more hedges.
         owner = make_owner("ab", hedge_budget=1.0, hedge_after_quantile=0.4)
         owner.warm_up(n_calls=64, elapsed=0.010)
         for _ in range(256):
@@ -339,14 +323,14 @@
 
 
 class TestShareOfTheAllowance:
-    """An owner that is asked for a group's calls before it knows the route.
+    """An owner whose share of a group's hedge budget changes.
 
-    It takes the group for one that all hosts call, and its part of the allowance for a
-    seventy-eighth. Once it knows, its part is that of one owner of a few.
+    Until it knows the route it assumes that all hosts call the group, and that its
+    share is small. After that the share is that of one of a few owners.
     """
 
     def test_a_part_that_grows_is_spent(self):
-        """Guards against groups that hardly hedge for as long as an owner has them."""
+        """Guards against an owner that keeps the small share it started with."""
         owner = make_owner(extra=ExtraCalls(hedge_burst=1.0, hedges_per_second=0.08))
         owner.warm_up()
         scheduler = owner.scheduler
@@ -369,13 +353,13 @@
         assert len(hedges) >= 10
 
     def test_a_part_that_shrinks_is_not_spent_twice(self):
-        """Guards against an owner that goes on with the part of one of a few."""
+        """Guards against an owner that keeps tokens beyond its smaller share."""
         budget = Budget(share=0.1, burst=16.0, per_second=1.0)
         budget.replace(share=0.1, burst=2.0, per_second=0.1)
         assert [budget.spend(now=0.0) for _ in range(3)] == [True, True, False]
 
     def test_a_part_that_grows_and_shrinks_by_turns_adds_up_to_the_largest(self):
-        """Guards against tokens that each lost and regained data centre would bring."""
+        """Guards against new tokens each time a data centre is lost and back."""
         budget = Budget(share=0.1, burst=2.0, per_second=0.0)
         n_spent = 0
         for burst in (8.0, 2.0) * 20:
@@ -387,12 +371,11 @@
 
 class TestWithheld:
     def test_it_is_told_once_why_a_slow_call_is_not_hedged(self):
-        # A caller's answer came late. Its log shows the slow server; without this line
-        # nobody could tell whether a second one was forgotten or not allowed.
-        told: list[WithholdHedge] = []
+        # Guards against a log that does not show why a late call was not hedged.
+        withheld: list[WithholdHedge] = []
 
         def note(effects):
-            told.extend(e for e in effects if isinstance(e, WithholdHedge))
+            withheld.extend(e for e in effects if isinstance(e, WithholdHedge))
 
         owner = make_owner("ab", slots=1)
         owner.warm_up()
@@ -400,17 +383,17 @@
         owner.submit()
         slow = owner.submit()
         owner.move(0.200)
-        assert {(e.call.call_id, e.why) for e in told} == {
+        assert {(e.call.call_id, e.why) for e in withheld} == {
             (slow.call_id - 1, "no free slot"),
             (slow.call_id, "no free slot"),
         }
-        assert len(told) == 2
+        assert len(withheld) == 2
 
 
 class TestGoal:
     def test_a_call_with_time_to_its_goal_is_not_hedged_for_being_slow(self):
-        # Calls take 10 ms and are wanted within 80. One that takes 20 ms answers by
-        # itself; one that hangs is hedged early enough for twice the usual time.
+        # Guards against a hedge too early for a call that takes twice the usual time,
+        # and too late for one that hangs.
         owner = make_owner()
         owner.warm_up()
         owner.submit(goal_ms=80)
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -1,7 +1,7 @@
-"""What a host keeps before the goal for joining and writing, learned from answers.
+"""The time a host keeps before the goal for joining and writing an answer.
 
-The figures are those of a host with an eighth of a core that joins 87 parts: 40 to 60
-ms from the end of the wait to the last byte, for a goal of 120 ms.
+The host has an eighth of a core and joins 87 parts, which takes it 40 to 60 ms, for a
+goal of 120 ms.
 """
 
 from lavendergap.coordination.arrivals import Arrival, compute_goal
@@ -52,15 +52,15 @@
         assert len(late) <= len(SLOW_MS) / 4
 
     def test_a_fast_host_keeps_what_is_known_to_be_good(self):
-        # Its answers show neither what a thin link takes for the bytes nor the next
-        # busy moment.
+        # Guards against a shorter reserve, which would be too short on a slow link or
+        # at a busy moment.
         for cores in (0.5, 1.0, 2.0):
             reserve = make_reserve(*[2.0] * 8, cores=cores)
             assert reserve.get_ms(n_parts=N_PARTS, now=0.0) == self.EXPECTED_MS
 
     def test_an_answer_of_many_parts_has_more(self):
-        # 135 proofs are 4 KB, which a thin link takes milliseconds for. Sent 10 ms
-        # before the goal, nine in ten of such answers came after it.
+        # Guards against a reserve too short to send an answer of many parts on a slow
+        # link.
         assert make_reserve().get_ms(n_parts=135, now=0.0) > 18
 
     def test_one_slow_answer_does_not_decide(self):
@@ -68,16 +68,15 @@
         assert reserve.get_ms(n_parts=N_PARTS, now=0.0) == 30.0
 
     def test_a_host_of_which_nothing_is_known_yet_goes_by_its_strength(self):
-        # On a host of an eighth of a core a search comes once in some seconds. Until
-        # four have been late, nothing would be learned; it knows what it is.
+        # Guards against late answers of a weak host until it has enough samples.
         for n_samples in range(MIN_SAMPLES):
             reserve = make_reserve(*SLOW_MS[:n_samples], cores=0.12)
             reserve_ms = reserve.get_ms(n_parts=N_PARTS, now=0.0)
             assert min(SLOW_MS) < reserve_ms < 70.0
 
-    def test_what_joining_takes_is_not_kept_for_one_server_s_answer(self):
-        # A booking is passed on as it comes. Kept for it, the time to join 87 parts
-        # would only have it hedged sooner, at the cost of a second server.
+    def test_an_answer_of_one_server_keeps_no_time_to_join(self):
+        # Guards against hedging a call for one server earlier by the time to join 87
+        # parts.
         reserve = make_reserve(*SLOW_MS)
         unknown = make_reserve()
         now = 0.0
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The owner's scheduler: dispatch, queue, retries, deadlines, changes, stopping."""
+"""The group scheduler: dispatch, queue, retries, deadlines, changes, stopping."""
 
 from dataclasses import replace
 
@@ -46,9 +46,8 @@
             owner.scheduler.submit(call, now=owner.now)
 
     def test_a_cancelled_attempt_keeps_its_slot_until_the_transport_ends_it(self):
-        # A caller leaves and its call is cancelled. Until the transport has closed
-        # the connection the server still works on it; a new call sent at once would
-        # be the third on two slots, and be shed.
+        # Guards against a new call on a slot that the server still uses for a cancelled
+        # one.
         owner = make_owner("a", slots=1)
         call = owner.submit()
         owner.submit()
@@ -73,8 +72,7 @@
 
 class TestRetry:
     def test_a_refusal_goes_to_another_replica_also_for_a_booking(self):
-        # A server that is being replaced refuses the connection. Nothing of the
-        # booking has left this host, so the other replica may run it.
+        # Guards against failing a booking that was refused before any of it was sent.
         owner = make_owner("ab", retry_budget=0.0)
         owner.submit(idempotent=False)
         first = owner.started[0].server
@@ -85,8 +83,7 @@
         assert isinstance(owner.finished[1].outcome, Answered)
 
     def test_a_booking_that_may_have_run_is_never_sent_again(self):
-        # The connection breaks after the booking was sent; the server may have run
-        # it. A second attempt would send two trucks to one job.
+        # Guards against running a booking twice after its connection was lost.
         owner = make_owner("ab")
         owner.submit(idempotent=False)
         owner.end_last(lose(Reason.LOST_CONNECTION))
@@ -97,9 +94,8 @@
         "reason", [Reason.SILENT_CONNECTION, Reason.LOST_CONNECTION]
     )
     def test_a_silent_connection_is_retried_on_a_fresh_one(self, reason):
-        # Something between the ends lost track of an old connection, and requests on
-        # it vanish. The other old connections may have gone the same way, so the
-        # retry must not take one of them.
+        # Guards against a retry on another pooled connection that has died in the same
+        # way.
         owner = make_owner("a")
         owner.submit()
         assert not owner.started[-1].fresh_connection
@@ -114,8 +110,7 @@
         assert {s.server for s in owner.started} == {"a", "b"}
 
     def test_an_outage_is_not_amplified(self):
-        # Every server answers 500. Without a budget each query would be tried four
-        # times, and the servers would meet four times the load while they recover.
+        # Guards against retries that multiply the load when every server fails.
         owner = make_owner("ab", retry_budget=0.1)
         for _ in range(400):
             owner.submit()
@@ -126,8 +121,8 @@
         assert owner.scheduler.describe(now=owner.now).n_budget_denials > 0
 
     def test_unknown_outlasts_a_later_refusal(self):
-        # The first replica loses the connection, the second refuses. The first may
-        # have run the call, so "not run" would be a lie.
+        # Guards against reporting "not run" when the first of two attempts may have
+        # run.
         owner = make_owner("ab")
         owner.submit()
         owner.end_last(lose(Reason.LOST_CONNECTION))
@@ -137,8 +132,8 @@
         assert owner.finished[1].outcome == lose(Reason.LOST_CONNECTION)
 
     def test_a_version_gone_everywhere_ends_as_version_gone(self):
-        # The indexer moves on while a query runs: one replica has dropped version 7,
-        # the other is being restarted. The coordinator must learn of the version.
+        # Guards against another refusal hiding from the coordinator that the version is
+        # gone.
         owner = make_owner("ab")
         owner.submit(version=7)
         owner.end_last(refuse(Reason.VERSION_GONE))
@@ -183,8 +178,8 @@
         )
 
     def test_a_queued_call_that_can_not_finish_is_not_started(self):
-        # Calls take 100 ms. One that has waited until 50 ms are left would hold a
-        # slot and be thrown away, and the call behind it would be late in turn.
+        # Guards against starting a call that is late anyway and delays the calls behind
+        # it.
         owner = make_owner("a", slots=1)
         owner.warm_up(elapsed=0.100)
         owner.submit(in_ms=1_000)
@@ -220,8 +215,8 @@
         assert isinstance(owner.finished[on_a.call.call_id].outcome, Answered)
 
     def test_a_server_taken_out_and_put_back_has_its_slots_once(self):
-        # Two edits in a row drop a server and bring it back while its two slots are
-        # busy. Counted from zero it would get two more calls, and shed them.
+        # Guards against more calls than slots after a server was removed and added
+        # again.
         owner = make_owner("a", slots=2)
         owner.submit()
         owner.submit()
@@ -277,8 +272,7 @@
 
 class TestLimits:
     def test_a_call_is_sent_to_no_more_servers_than_it_allows(self):
-        # Two servers fail an idempotent call that may be sent to two. The third is
-        # not asked, neither as a retry nor as a hedge.
+        # Guards against a retry or a hedge beyond `max_attempts`.
         owner = make_owner("abc")
         owner.warm_up()
         call = owner.submit(max_attempts=2)
@@ -288,9 +282,8 @@
         assert owner.finished[call.call_id].n_attempts == 2
 
     def test_a_repeat_is_paid_for_like_a_retry(self):
-        # Another owner was asked for these calls and is lost; it may have made them.
-        # When many come at once, those beyond the budget are refused: the servers
-        # would have each of them twice.
+        # Guards against repeats from a lost owner that double the load outside the
+        # retry budget.
         owner = make_owner(extra=ExtraCalls(retry_burst=2.0, retries_per_second=0.0))
         for _ in range(5):
             owner.submit(is_repeat=True)
@@ -316,9 +309,8 @@
 
 class TestStalls:
     def test_a_server_that_pauses_gets_nothing_until_it_answers(self):
-        # One of two servers stops for 100 ms, as in a collection of garbage. The
-        # calls that come meanwhile all go to the other one: none waits for the end
-        # of the pause, and none needs a hedge.
+        # Guards against calls that wait for the end of a server's pause or cost a
+        # hedge.
         owner = make_owner()
         owner.warm_up()
         owner.submit()
@@ -348,8 +340,7 @@
         return replace(group, servers=(group.servers[0], far))
 
     def test_the_near_server_is_taken_while_it_has_a_slot_to_spare(self):
-        # One call at a time, and two at a time: all go to the server in the same
-        # data centre. Bytes between data centres cost their users money.
+        # Guards against paid traffic between data centres while a near slot is free.
         owner = make_owner(group=self.make_group(), data_centre="ptl-a")
         for _ in range(10):
             owner.submit()
@@ -365,9 +356,8 @@
         assert [s.server for s in owner.started] == ["a", "a", "b"]
 
     def test_one_long_answer_is_no_reason_to_go_elsewhere(self):
-        # The near server paused for a moment, and one call took ten times as long
-        # as usual. The next ones go there all the same, one at a time or two; once
-        # all its answers are slow, they do not.
+        # Guards against leaving a near server after one pause, and against staying when
+        # all its answers are slow.
         owner = make_owner(group=self.make_group(), data_centre="ptl-a")
         owner.warm_up()
         owner.submit()
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over the scheduler: any order of events keeps its promises."""
+"""A state machine over the scheduler: its guarantees hold in any order of events."""
 
 from collections import Counter
 
@@ -52,7 +52,7 @@
 class SchedulerMachine(RuleBasedStateMachine):
     """Calls, ends, cancels, probes, new settings and time, in any order.
 
-    The machine keeps its own account of every attempt and compares promises with it.
+    The machine records every attempt itself and checks the guarantees against that.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
 
     @initialize(n_calls=st.sampled_from([0, 48]))
     def warm_up(self, n_calls) -> None:
-        """Let the scheduler know latencies, as hedges and refusals need them."""
+        """Give the scheduler latencies, as hedges and refusals need them."""
         self.owner.check = None
         self.owner.warm_up(n_calls)
         self.owner.check = self.check
@@ -78,7 +78,7 @@
         self.calls = {k: f.call for k, f in self.owner.finished.items()}
 
     def check(self, effects) -> None:
-        """Compare each effect with what is known of its call so far."""
+        """Compare each effect with the state recorded for its call."""
         for effect in effects:
             match effect:
                 case StartAttempt(call=call):
--- a/tests/test_slow_servers.py
+++ b/tests/test_slow_servers.py
@@ -1,9 +1,8 @@
-"""Groups whose near server turns slow, at the rates that few and many shards give.
+"""Groups whose near server turns slow, at low and high rates of calls.
 
-A sixth of the servers of a library turn eleven times slower for eight seconds, as on
-the users' days of load. The servers take 7.5 ms with a spread of 0.35 and pause 100 ms
-in each 2.4 s, and searches want their answer in 82 ms: the signage operator's figures.
-With 20 shards an owner sees some 13 calls a second of a group, with 90 one to four.
+The near servers turn eleven times slower for eight seconds. Servers take 7.5 ms with a
+spread of 0.35 and pause for 100 ms in each 2.4 s; the goal is 82 ms. An owner gets
+about 13 calls a second of a group with 20 shards, and one to four with 90.
 """
 
 from dataclasses import dataclass, field, replace
@@ -18,13 +17,13 @@
 
 from .groups import Owner, lose, make_group, make_owner
 
-WORK = 0.0075
+SERVICE_TIME_S = 0.0075
 SPREAD = 0.35
-SLOWER = 11.0
-PAUSE = 0.1
-PAUSE_EVERY = 2.4
-GOAL = 0.082
-SETTLING = 10.0
+SLOWDOWN_FACTOR = 11.0
+PAUSE_S = 0.1
+PAUSE_PERIOD_S = 2.4
+GOAL_S = 0.082
+SETTLE_S = 10.0
 HEDGE_BUDGET = 0.13
 N_GROUPS = 30
 NEAR, FAR = "a", "bc"
@@ -32,7 +31,7 @@
 
 @dataclass(kw_only=True)
 class Load:
-    """What came of the calls of all groups, after the time to settle."""
+    """Counts of the calls of all groups, after the time to settle."""
 
     n_calls: int = 0
     n_far: int = 0
@@ -50,7 +49,7 @@
 
 @dataclass(kw_only=True)
 class GroupLoad:
-    """One group's calls at random times, and servers that answer as told above."""
+    """One group's calls at random times, and its simulated servers."""
 
     owner: Owner
     rng: Random
@@ -64,8 +63,8 @@
     phases: dict[str, float] = field(default_factory=dict)
 
     def play(self, seconds: float) -> None:
-        self.began = self.owner.now + SETTLING
-        self.phases = {s: self.rng.random() * PAUSE_EVERY for s in NEAR + FAR}
+        self.began = self.owner.now + SETTLE_S
+        self.phases = {s: self.rng.random() * PAUSE_PERIOD_S for s in NEAR + FAR}
         stops_at = self.began + seconds
         next_call = self.owner.now
         while True:
@@ -87,7 +86,7 @@
             self._serve_started()
 
     def _submit(self) -> None:
-        call = self.owner.submit(kind="search", goal_ms=GOAL * 1_000, in_ms=400)
+        call = self.owner.submit(kind="search", goal_ms=GOAL_S * 1_000, in_ms=400)
         self.waiting[call.call_id] = self.owner.now
 
     def _serve_started(self) -> None:
@@ -97,12 +96,12 @@
 
     def _serve(self, start: StartAttempt) -> None:
         now = self.owner.now
-        work = WORK * self.rng.lognormvariate(0.0, SPREAD)
+        service_time = SERVICE_TIME_S * self.rng.lognormvariate(0.0, SPREAD)
         if self.is_near_slow and start.server == NEAR and now >= self.began:
-            work *= SLOWER
-        into_pause = (now + self.phases[start.server]) % PAUSE_EVERY
-        work += max(0.0, PAUSE - into_pause)
-        self.ends.append((now + work, start.attempt_id, work))
+            service_time *= SLOWDOWN_FACTOR
+        into_pause = (now + self.phases[start.server]) % PAUSE_PERIOD_S
+        service_time += max(0.0, PAUSE_S - into_pause)
+        self.ends.append((now + service_time, start.attempt_id, service_time))
         if now >= self.began:
             self.load.n_hedges += start.cause == "hedge"
             self.load.n_far += start.cause == "first" and start.server != NEAR
@@ -116,7 +115,7 @@
             since = self.waiting.pop(call_id)
             if since >= self.began:
                 self.load.n_calls += 1
-                self.load.n_late += self.owner.now - since > GOAL
+                self.load.n_late += self.owner.now - since > GOAL_S
             for attempt_id, start in list(self.owner.open.items()):
                 if start.call.call_id == call_id:
                     self._cancel(attempt_id)
@@ -129,7 +128,7 @@
 
 
 def play(*, rate: float, is_near_slow: bool, seconds: float) -> Load:
-    """Return what came of `N_GROUPS` groups with `rate` calls a second each."""
+    """Return the counts for `N_GROUPS` groups with `rate` calls a second each."""
     load = Load()
     rng = Random(1)
     kinds = KindLatencies()
@@ -157,8 +156,7 @@
 
 
 class TestSlowNearServer:
-    # Before a new answer weighed more the longer the last one was ago, and slowness
-    # was remembered for longer: 0.161, 0.141 and 0.044 of the calls were late.
+    # Guards against too few or too old samples to detect a slow server.
     @pytest.mark.parametrize(
         ("rate", "most_late"), [(1.0, 0.03), (4.0, 0.06), (13.0, 0.03)]
     )
@@ -171,8 +169,8 @@
 class TestCalm:
     @pytest.mark.parametrize("rate", [1.0, 4.0, 13.0])
     def test_pauses_send_few_calls_far(self, rate):
-        # Each crosses between data centres, which is paid for. A pause makes one
-        # answer in 25 slow, and is over by the next.
+        # Guards against paid traffic between data centres because of pauses that are
+        # over by the next call.
         load = play(rate=rate, is_near_slow=False, seconds=16.0)
         assert load.far_share <= 0.05
         assert load.late_share <= 0.005
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,7 +1,7 @@
-"""Cold servers under the load of many hosts: what reaches one in any second.
+"""The rate of requests to cold servers under the load of many hosts.
 
-The bound is the platform's, over all hosts together. Hosts differ in what they know:
-some have lost sight of others and take themselves for the one that warms a server up.
+The limit is the platform's, over all hosts together. Some hosts have lost sight of
+others and each act as the one that warms a server up.
 """
 
 from bisect import bisect_right
@@ -21,14 +21,16 @@
 from .groups import Owner
 
 GROUP = "desk"
-PLACES = ("ptl-a", "ptl-b", "sea-a", "sea-b")
-RATE = 10.0
+DATA_CENTRES = ("ptl-a", "ptl-b", "sea-a", "sea-b")
+COLD_RATE = 10.0
 BOUND = WarmupBound(factor=1.5, slack=5.0)
-MAX_IN_A_SECOND = RATE * BOUND.factor + BOUND.slack
-SERVICE_TIME = 0.02
+MAX_IN_A_SECOND = COLD_RATE * BOUND.factor + BOUND.slack
+SERVICE_TIME_S = 0.02
 
 
-def make_service(cold_places: tuple[str, ...], *, rate: float | None = RATE) -> Service:
+def make_service(
+    cold_data_centres: tuple[str, ...], *, rate: float | None = COLD_RATE
+) -> Service:
     """Return a group with a server in each data centre, cold in some."""
     target = OneOf(groups=(WeightedGroup(group=GROUP, weight=1.0),))
     route = Route(
@@ -50,9 +52,9 @@
             data_centre=place,
             slots=4,
             is_draining=False,
-            is_cold=place in cold_places,
+            is_cold=place in cold_data_centres,
         )
-        for number, place in enumerate(PLACES)
+        for number, place in enumerate(DATA_CENTRES)
     ]
     catalog = build_catalog(
         table=RouteTable(
@@ -62,7 +64,7 @@
         ),
         servers=servers,
         budget=ExtraCallBudget(share=0.2, slack=54.0, window_s=10.0),
-        n_hosts=len(PLACES),
+        n_hosts=len(DATA_CENTRES),
         warmup=BOUND,
     )
     [service] = catalog.services
@@ -70,10 +72,12 @@
 
 
 class Fleet:
-    """Hosts with a scheduler each, and the times at which servers got requests."""
+    """Hosts with a scheduler each, and the times of the requests to each server."""
 
     def __init__(self, n_hosts: int, service: Service) -> None:
-        self.places = {f"h{n}": PLACES[n % len(PLACES)] for n in range(n_hosts)}
+        self.places = {
+            f"h{n}": DATA_CENTRES[n % len(DATA_CENTRES)] for n in range(n_hosts)
+        }
         self.views = dict.fromkeys(self.places, self.places)
         self.service = service
         self.sent: dict[str, list[float]] = {}
@@ -104,11 +108,11 @@
         )
 
     def isolate(self, host: str) -> None:
-        """Have a host take itself for the only one that is live."""
+        """Let a host see no other live host."""
         self.views[host] = {host: self.places[host]}
 
     def play(self, rate: float, seconds: float, rng: Random) -> None:
-        """Have callers reach hosts at random, `rate` times a second in all."""
+        """Send calls to random hosts, `rate` a second in all."""
         now = 100.0
         ends_at = now + seconds
         while now < ends_at:
@@ -128,7 +132,7 @@
         owner = self.owners[host]
         for start in owner.started[n_before:]:
             self.sent.setdefault(start.server, []).append(owner.now)
-            self.ends.append((owner.now + SERVICE_TIME, host, start.attempt_id))
+            self.ends.append((owner.now + SERVICE_TIME_S, host, start.attempt_id))
 
     def _finish(self, now: float) -> None:
         while self.ends and self.ends[0][0] <= now:
@@ -137,7 +141,7 @@
             owner.now = max(owner.now, at)
             n_before = len(owner.started)
             if attempt_id in owner.open:
-                owner.end(attempt_id, elapsed=SERVICE_TIME)
+                owner.end(attempt_id, elapsed=SERVICE_TIME_S)
             self._note_starts(host, n_before)
 
     def count_most_in_a_second(self, place: str) -> int:
@@ -154,7 +158,7 @@
 class TestOneColdServer:
     @pytest.mark.parametrize("n_hosts", [9, 78, 550])
     def test_all_hosts_together_stay_within_the_bound(self, n_hosts):
-        """Guards against hosts that each send what the server bears of all."""
+        """Guards against hosts that each send as much as all together may."""
         fleet = Fleet(n_hosts, make_service(("ptl-a",)))
         fleet.play(400.0, 3.0, Random(1))
         assert fleet.count_most_in_a_second("ptl-a") <= MAX_IN_A_SECOND
@@ -166,7 +170,7 @@
 
     @pytest.mark.parametrize("n_hosts", [9, 78])
     def test_also_while_some_take_themselves_for_the_one(self, n_hosts):
-        """Guards against the sum of a host that is cut off and its successor."""
+        """Guards against an isolated host and its successor exceeding the limit."""
         fleet = Fleet(n_hosts, make_service(("ptl-a",)))
         near = [host for host, place in fleet.places.items() if place == "ptl-a"]
         for host in [h for h in near if h != fleet.find_first("ptl-a")][:2]:
@@ -178,10 +182,10 @@
 
 class TestWholeServiceCold:
     def test_what_cannot_be_sent_is_refused_at_once(self):
-        """Guards against callers that are held until the servers are warm."""
-        fleet = Fleet(78, make_service(PLACES))
+        """Guards against calls that wait until the servers are warm."""
+        fleet = Fleet(78, make_service(DATA_CENTRES))
         fleet.play(400.0, 3.0, Random(1))
-        for place in PLACES:
+        for place in DATA_CENTRES:
             assert 0 < fleet.count_most_in_a_second(place) <= MAX_IN_A_SECOND
         refused = [
             end.outcome
@@ -196,16 +200,16 @@
 
 class TestBounds:
     def test_a_service_without_a_rate_has_no_bound(self):
-        """Guards against cold servers that get nothing where nothing is bounded."""
+        """Guards against cold servers without requests where there is no limit."""
         limits = [
             server.cold_limit
-            for rate in (RATE, None)
+            for rate in (COLD_RATE, None)
             for server in make_service(("ptl-a",), rate=rate).groups[0].servers
         ]
-        assert limits == [BOUND.divide(RATE), None, None, None] + [None] * 4
+        assert limits == [BOUND.divide(COLD_RATE), None, None, None] + [None] * 4
 
     def test_a_server_that_turns_cold_is_bounded_from_then_on(self):
-        """Guards against a bound that only a start brings about."""
+        """Guards against a limit that only applies to servers cold at the start."""
         fleet = Fleet(1, make_service(()))
         owner = fleet.owners["h0"]
         cold = make_service(("ptl-a",))
