--- a/src/lavendergap/coordination/arrivals.py
+++ b/src/lavendergap/coordination/arrivals.py
@@ -19,7 +19,7 @@
 
 MAX_SPENT_SHARE = 0.5
 """A request that states less by more than this share of the goal was refused before, or
-its caller gives less time; either way it says nothing about the network.
+its caller gives less time. Neither is a measurement of the network.
 """
 
 TIME_LEFT_PERIOD_S = 30.0
--- a/src/lavendergap/coordination/gate.py
+++ b/src/lavendergap/coordination/gate.py
@@ -17,7 +17,7 @@
 # lower share would mistake the latency of slow services for queueing.
 SLOW_DEADLINE_SHARE = 0.5
 # A query may wait in the queue for this share of its time. With more, it would start
-# too late, and a caller would learn of a refusal too late.
+# too late, and a refusal would reach its caller too late.
 MAX_WAIT_SHARE = 0.25
 INITIAL_ELAPSED_S = 0.02
 ELAPSED_GAIN = 0.1
@@ -99,8 +99,8 @@
         if is_congested:
             self._cut_limit(now, started)
             return
-        # The limit grows only when it was reached; an unused limit says nothing about a
-        # larger one.
+        # The limit grows only when it was reached: an unused limit does not show that a
+        # larger one would work.
         if was_full:
             # Until the first congestion the limit doubles with each round, as callers
             # may arrive all at once. After it the limit grows slowly.
--- a/src/lavendergap/coordination/progress.py
+++ b/src/lavendergap/coordination/progress.py
@@ -105,7 +105,8 @@
         # again at another version.
         if self.refusal is None or self.refusal.reason is not Reason.VERSION_GONE:
             self.refusal = outcome
-        # A server that sheds load is avoided by its backoff, for as long as it asked.
+        # A server that sheds load is not excluded: its backoff keeps calls away from
+        # it.
         if outcome.reason is not Reason.SHED:
             self.excluded |= {replica}
 
--- a/src/lavendergap/coordination/replicas.py
+++ b/src/lavendergap/coordination/replicas.py
@@ -69,7 +69,7 @@
 
 
 class Replica:
-    """State of one backend server as this owner knows it.
+    """State of one backend server as this owner has observed it.
 
     Only the owner's calls in flight are exact. All else comes from the server's reports
     and behaviour, and is valid for a time that depends on its source. Answers take
--- a/src/lavendergap/coordination/reserve.py
+++ b/src/lavendergap/coordination/reserve.py
@@ -5,8 +5,8 @@
 
 ANSWER_RESERVE_MS = 9.0
 PART_RESERVE_MS = 0.07
-"""Milliseconds kept for waking up, joining and writing an answer, and for each part of
-it.
+"""Milliseconds kept for waking up, joining and writing an answer, and the addition for
+each part of it.
 
 More parts take longer to join and make a longer answer. If the reserve is too short,
 answers miss the goal; if it is too long, stragglers are given up early.
@@ -18,7 +18,7 @@
 """
 
 MAX_SAMPLES = 16
-"""Answers that are remembered; some ten seconds at one or two a second."""
+"""Recent answers that are kept."""
 
 MIN_SAMPLES = 4
 """With fewer samples, one answer at a busy moment would decide."""
@@ -39,7 +39,8 @@
 
     The time is spent on this host: joining, writing, and whatever else runs there.
     While there are too few samples, it is estimated from the number of parts and the
-    host's cores, as most hosts see such answers rarely.
+    host's cores, as most hosts rarely send such answers. The reserve is never less than
+    that estimate.
 
     >>> reserve = AnswerReserve(cores=0.5)
     >>> round(reserve.get_ms(n_parts=50, now=0.0), 1)
--- a/src/lavendergap/coordination/summary.py
+++ b/src/lavendergap/coordination/summary.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSummary:
-    """State of a backend server as its owner knows it."""
+    """State of a backend server as its owner has observed it."""
 
     name: str
     state: str
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -1,6 +1,6 @@
 """Estimates of the callers' wait before a request is read and after its answer.
 
-Callers 3 ms away give a search 3,024 ms and want it within 248. A request on a kept
+Callers 3 ms away give a search 3,024 ms, with a goal of 248. A request on a kept
 connection states 3,023, one on a new connection 3,017 or 3,016, since opening it took a
 round trip.
 """
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -325,8 +325,8 @@
 class TestShareOfTheAllowance:
     """An owner whose share of a group's hedge budget changes.
 
-    Until it knows the route it assumes that all hosts call the group, and that its
-    share is small. After that the share is that of one of a few owners.
+    Until the route is known the owner assumes that all hosts call the group, and that
+    its share is small. After that the share is that of one of a few owners.
     """
 
     def test_a_part_that_grows_is_spent(self):
