--- a/src/lavendergap/coordination/scheduler.py
+++ b/src/lavendergap/coordination/scheduler.py
@@ -1,4 +1,4 @@
-"""The owner's decisions for one group of replicas: dispatch, queue, retry, hedge."""
+"""Scheduler of the calls to one group: dispatch, queueing, retries and hedges."""
 
 from collections.abc import Callable
 from itertools import count
@@ -14,7 +14,7 @@
     is_server_end,
 )
 from ..state.settings import Control, Group, Server, Service
-from .admission import Admission, Capacity, WaitingCalls, suggest_retry_after
+from .admission import Admission, Capacity, WaitingCalls, compute_retry_after_ms
 from .budget import Budget
 from .calls import (
     AttemptEnded,
@@ -30,36 +30,35 @@
 )
 from .choice import Busy, Choice, Chosen, NoneLeft, choose, measure_capacity
 from .hedging import (
-    STRAGGLER_RATIO,
+    STRAGGLER_MEDIAN_FACTOR,
     KindLatencies,
     RecentLatencies,
     choose_hedge_delay,
     choose_quantile,
 )
 from .progress import Attempt, Progress
-from .replicas import BLAME, NEVER, Replica
+from .replicas import FAILURE_WEIGHTS, NEVER, Replica
 from .summary import GroupSummary, summarize_server, to_ms
 from .timers import CallTimers
 
-# A call is tried at most this often whatever the budgets hold, so that one call that
-# breaks each server it meets cannot go round the group.
+# Bounds the attempts of one call whatever the budgets allow, so that a call that
+# crashes its server cannot crash the whole group.
 MAX_ATTEMPTS = 4
-SHORTEST_HEDGE_DELAY = 0.001
-# Where all calls take about as long, the quantile is hardly above the median, and
-# ordinary calls just beyond it would take every token. These are for attempts that
-# are slow by any measure; the others get what is above the reserve.
-HEDGE_RESERVE = 3.0
-# How often in one delay a hedge that found no free slot looks for one again.
-LOOKS_PER_DELAY = 8
+MIN_HEDGE_DELAY_S = 0.001
+# Hedge tokens kept for stragglers. Where latencies hardly vary, the quantile is close
+# to the median, and ordinary calls just beyond it would spend every token.
+STRAGGLER_HEDGE_TOKENS = 3.0
+# How often within one hedge delay a hedge without a free slot is tried again.
+HEDGE_TRIES_PER_DELAY = 8
 MAX_HEDGES = 2
-# A call that has taken this many times the median is no ordinary one any more: of
-# exponential times one in twenty is as long, and then only the next choice is moved.
-STALL_RATIO = 3.0
-# Below this many seconds the wait is the process's own and says nothing of a server.
-SHORTEST_STALL = 0.01
-# How many waiting calls that no free replica can take are passed over in one go, so
-# that a long queue for one version costs a bounded time at each event.
-MAX_PASSED_OVER = 8
+# A server that has held a call for this many medians is taken to be stalled. A false
+# alarm only moves the next choice of a replica.
+STALL_MEDIAN_FACTOR = 3.0
+# Shorter waits may come from this process and not from a server.
+MIN_STALL_S = 0.01
+# How many waiting calls without a free replica are skipped per dispatch, so that a long
+# queue for one version costs a bounded time at each event.
+MAX_SKIPPED_CALLS = 8
 
 
 def _always() -> bool:
@@ -73,12 +72,12 @@
 class GroupScheduler:
     """Runs the calls to one group on its replicas, within their slots.
 
-    Every method takes the present time in seconds and returns what is to be done, in
-    order. Each submitted call gets exactly one `FinishCall`; each `StartAttempt` is
-    owed exactly one `AttemptEnded`, also after `CancelAttempt`, and holds a slot of
-    its server until then. `next_wake` tells when to call `advance` if nothing else
-    happens before. Attempt ids count from 1 within the scheduler. Times are seconds
-    of one monotonic clock, a call's deadline among them.
+    Every method takes the present time and returns the effects to carry out, in order.
+    Each submitted call gets exactly one `FinishCall`. Each `StartAttempt` has to be
+    followed by exactly one `AttemptEnded`, also after `CancelAttempt`, and holds a slot
+    of its server until then. `next_wake` returns when to call `advance` if nothing else
+    happens before. Attempt ids count from 1 within the scheduler. All times, a call's
+    deadline among them, are seconds of one monotonic clock.
 
     >>> from lavendergap.state.settings import Address, Server, WaitForCoverage
     >>> server = Server(
@@ -128,13 +127,14 @@
         self._calls: dict[int, Progress] = {}
         self._attempts: dict[int, Attempt] = {}
         self._waiting = WaitingCalls()
-        # Stragglers whose hedge waits for a free slot; cleaned as slots come free.
-        self._blocked: dict[int, Progress] = {}
+        # Stragglers whose hedge waits for a free slot. Finished ones are removed when a
+        # slot is freed.
+        self._blocked_hedges: dict[int, Progress] = {}
         self._timers = CallTimers()
         self._attempt_ids = count(1)
-        self._recent = RecentLatencies(quantile=choose_quantile(service))
-        self._kinds = kinds or KindLatencies()
-        self._admission = Admission(recent=self._recent)
+        self._group_latencies = RecentLatencies(quantile=choose_quantile(service))
+        self._kind_latencies = kinds or KindLatencies()
+        self._admission = Admission(latencies=self._group_latencies)
         self._retries = Budget(
             share=service.retry_budget,
             burst=service.extra.retry_burst,
@@ -145,7 +145,7 @@
             burst=service.extra.hedge_burst,
             per_second=service.extra.hedges_per_second,
         )
-        self._opens_at = NEVER
+        self._capacity_opens_at = NEVER
         self._is_stopping = False
         self._n_calls = 0
         self._n_refused = 0
@@ -153,24 +153,23 @@
         self._n_hedges = 0
         self._n_budget_denials = 0
 
-    def _make_replica(self, server: Server, ramp_from: float = -NEVER) -> Replica:
-        # One host warms a server up, and it stands in the server's data centre.
+    def _make_replica(self, server: Server, ramp_starts_at: float = -NEVER) -> Replica:
+        # Each data centre has one host that warms up its cold servers.
         is_near = server.data_centre == self.data_centre
         may_warm = self._may_warm if is_near else _never
-        return Replica(server=server, ramp_from=ramp_from, may_warm=may_warm)
+        return Replica(server=server, ramp_starts_at=ramp_starts_at, may_warm=may_warm)
 
-    # What happens.
+    # Events.
 
     def submit(
         self, call: Call, *, now: float, may_hedge: Callable[[], bool] = _always
     ) -> list[Effect]:
-        """Take a call: start it, let it wait for a slot, or refuse it at once.
+        """Start a call, queue it for a slot, or refuse it.
 
-        A call that cannot finish before its deadline, given the calls ahead of it
-        and the time that recent ones took, is refused as not run: an answer that
-        comes too late costs a slot and helps nobody. It is hedged only while
-        `may_hedge` says so. Raises ValueError for the id of a call that has not
-        finished yet.
+        A call that is not expected to finish before its deadline, given the calls ahead
+        of it and recent latencies, is refused as not run: a late answer would use a
+        slot for nothing. The call is hedged only while `may_hedge` returns true. Raises
+        ValueError if a call with this id is unfinished.
         """
         if call.call_id in self._calls:
             raise ValueError(f"call {call.call_id} was already submitted")
@@ -197,50 +196,50 @@
         return self._admit(progress, now)
 
     def end_attempt(self, ended: AttemptEnded, *, now: float) -> list[Effect]:
-        """Take the end of an attempt; its slot is free from now on."""
+        """Record the end of an attempt and free its slot."""
         attempt = self._attempts.pop(ended.attempt_id, None)
         if attempt is None:
             return []
-        self._learn(attempt, ended, now)
+        self._record_end(attempt, ended, now)
         effects: list[Effect] = []
         progress = attempt.progress
         if progress is not None:
             progress.attempts.remove(attempt)
-            self._settle(progress, attempt, ended.outcome, now, effects)
+            self._handle_outcome(progress, attempt, ended.outcome, now, effects)
         if self._waiting:
-            self._hedge_blocked(now, effects)
+            self._start_blocked_hedges(now, effects)
             self._dispatch(now, effects)
         return effects
 
     def cancel(self, call_id: int, *, now: float) -> list[Effect]:
-        """Give up a call that nobody waits for any more; a late cancel is no error."""
+        """Cancel a call that has no caller left; a finished call is ignored."""
         progress = self._calls.get(call_id)
         if progress is None:
             return []
         effects: list[Effect] = []
-        self._give_up(progress, Reason.CANCELLED, effects)
+        self._end_unanswered(progress, Reason.CANCELLED, effects)
         return effects
 
     def observe(
         self, server: str, report: ServerReport | None, *, now: float
     ) -> list[Effect]:
-        """Take the result of a health probe; None when there was no answer."""
+        """Record the result of a health probe; None if there was no answer."""
         for replica in self._replicas:
             if replica.server.name != server:
                 continue
             if report is None:
-                replica.note_no_health(now=now, dice=self.random)
+                replica.note_no_health(now=now, rng=self.random)
             else:
                 replica.note_health(report, now=now)
         return self.advance(now=now)
 
     def advance(self, *, now: float) -> list[Effect]:
-        """Do what has become due: end late calls, hedge slow ones, use free slots."""
+        """Do what is due: end late calls, hedge slow ones, use free slots."""
         effects: list[Effect] = []
         while (call_id := self._timers.pop_due(now)) is not None:
             progress = self._calls.get(call_id)
             if progress is not None and progress.attempts:
-                self._look_after(progress, now, effects)
+                self._run_timer(progress, now, effects)
         if self._waiting:
             self._dispatch(now, effects)
         return effects
@@ -248,12 +247,12 @@
     def replace(
         self, *, group: Group, service: Service, control: Control, now: float
     ) -> list[Effect]:
-        """Act on changed settings from now on; running calls go on.
+        """Apply changed settings; running calls go on.
 
-        A server that is gone, or has another address, gets nothing new. A new one
-        starts slowly, as its caches are cold. So does one that has started again, of
-        which nothing holds: what was learned of the process before is about slots,
-        queues and failures that ended with it. Its attempts teach only the old record.
+        A server that was removed, or has another address, gets no new calls. A new or
+        restarted one starts slowly, as its caches are cold, and with a new record:
+        slots, queues and failures of the process before do not apply to it. Attempts
+        that still run on the old process update only the old record.
         """
         known = {
             (r.server.address, r.server.incarnation): r
@@ -264,19 +263,20 @@
         for server in group.servers:
             replica = known.pop((server.address, server.incarnation), None)
             if replica is None:
-                replica = self._make_replica(server, ramp_from=now)
+                replica = self._make_replica(server, ramp_starts_at=now)
             elif server.address not in staying or server.name != replica.server.name:
-                # Another process at the address: what is known is of the one before.
+                # The process at the address may be another one, so the old state does
+                # not apply.
                 replica.rejoin(now)
             replica.server = server
             self._replicas.append(replica)
-        # Its attempts still hold slots: a server that an edit takes away and the
-        # next one brings back would else be given twice its slots.
+        # Kept because their attempts still hold slots: a server that is removed and
+        # added again would otherwise be given twice its slots.
         self._leaving = [r for r in known.values() if r.in_flight > 0]
         self.group = group
         self.service = service
         self.control = control
-        self._recent.quantile = choose_quantile(service)
+        self._group_latencies.quantile = choose_quantile(service)
         self._retries.replace(
             share=service.retry_budget,
             burst=service.extra.retry_burst,
@@ -290,7 +290,7 @@
         return self.advance(now=now)
 
     def stop(self, *, now: float) -> list[Effect]:
-        """End the calls that wait, truly not run; those that run may finish."""
+        """End the waiting calls as not run; running calls may finish."""
         self._is_stopping = True
         effects: list[Effect] = []
         while self._waiting:
@@ -300,12 +300,14 @@
         return effects
 
     def next_wake(self) -> float | None:
-        """Return the time at which `advance` has something to do, or None."""
+        """Return when `advance` next has something to do, or None."""
         wake = self._timers.find_next(self._calls)
         first_deadline = self._waiting.first_deadline
         if first_deadline is not None:
             wake = min(
-                wake, self._opens_at, first_deadline - self._admission.needed_time
+                wake,
+                self._capacity_opens_at,
+                first_deadline - self._admission.needed_time,
             )
         return None if wake == NEVER else wake
 
@@ -323,8 +325,8 @@
             n_budget_denials=self._n_budget_denials,
             retry_tokens=self._retries.tokens,
             hedge_tokens=self._hedges.tokens,
-            hedge_delay_ms=to_ms(self._recent.delay),
-            service_time_ms=to_ms(self._recent.mean),
+            hedge_delay_ms=to_ms(self._group_latencies.delay),
+            service_time_ms=to_ms(self._group_latencies.mean),
             is_stopping=self._is_stopping,
             servers=tuple(summarize_server(replica, now) for replica in self._replicas),
         )
@@ -354,10 +356,10 @@
 
     def _dispatch(self, now: float, effects: list[Effect]) -> None:
         waiting = self._waiting
-        for late in waiting.pop_late(now=now, needed=self._admission.needed_time):
+        for late in waiting.pop_expiring(now=now, needed=self._admission.needed_time):
             self._end_late(late, now, effects)
         index = 0
-        while index < min(len(waiting), MAX_PASSED_OVER) and self._has_room(now):
+        while index < min(len(waiting), MAX_SKIPPED_CALLS) and self._has_free_slot(now):
             progress = waiting[index]
             match self._choose(progress, now):
                 case Chosen() as chosen:
@@ -368,17 +370,17 @@
                     self._finish(progress, progress.get_failure() or outcome, effects)
                 case Busy():
                     index += 1
-        self._opens_at = min(
-            (replica.get_opening(now) for replica in self._replicas), default=NEVER
+        self._capacity_opens_at = min(
+            (replica.get_reopen_time(now) for replica in self._replicas), default=NEVER
         )
 
     def _end_late(self, progress: Progress, now: float, effects: list[Effect]) -> None:
         capacity = measure_capacity(self._replicas, now)
-        wait = self._admission.estimate_absence(len(self._waiting), capacity)
+        wait = self._admission.estimate_retry_delay(len(self._waiting), capacity)
         outcome = self._make_refusal(Step.QUEUE, Reason.DEADLINE, wait)
         self._finish(progress, progress.get_failure() or outcome, effects)
 
-    def _has_room(self, now: float) -> bool:
+    def _has_free_slot(self, now: float) -> bool:
         return any(r.in_flight < r.limit(now) for r in self._replicas)
 
     def _choose(self, progress: Progress, now: float) -> Choice:
@@ -386,8 +388,8 @@
         tried = progress.tried | self._find_stalled(now)
         if progress.attempts:
             running = {attempt.replica for attempt in progress.attempts}
-            # A first hedge on the same server would meet what holds up the call. When
-            # two servers are slow with it, the cause is with the attempts.
+            # A hedge on the same server would be held up by the same cause. Once two
+            # servers are slow, a running one may be chosen again as a last resort.
             if len(progress.attempts) == 1:
                 excluded = excluded | running
             else:
@@ -397,30 +399,29 @@
             version=progress.call.version,
             excluded=excluded,
             tried=tried,
-            typical=self._find_typical(),
+            fastest_slowness=self._find_fastest_slowness(),
             now=now,
-            dice=self.random,
+            rng=self.random,
             data_centre=self.data_centre,
             allowed=progress.call.data_centres,
         )
 
-    def _find_typical(self) -> float:
-        """Return the slowness that a replica is held against: the fastest one's.
+    def _find_fastest_slowness(self) -> float:
+        """Return the slowness of the fastest replica, the baseline for the others.
 
-        The group's mean is that of the replica which gets most calls. Where that is
-        the near one, and it turns slow, the mean turns slow with it, and nothing
-        would ever go to the others.
+        The group's mean would not do: it follows the replica that gets most calls, the
+        near one as a rule. If that one turned slow, the mean would rise with it, and no
+        calls would move to the others.
         """
         known = [r.slowness for r in self._replicas if r.slowness > 0.0]
         return min(known, default=0.0)
 
     def _find_stalled(self, now: float) -> frozenset[Replica]:
-        """Return the servers that have held a call for much longer than is usual.
+        """Return the servers that have held a call for much longer than usual.
 
-        A server that pauses (a collection of garbage, say) answers nothing for a
-        while. Each call sent there meanwhile would wait for the end of the pause, or
-        cost a hedge; a group with another replica loses nothing by sparing it until
-        it answers.
+        A server that pauses, for example for a garbage collection, answers nothing for
+        a while. Calls sent there meanwhile would wait for the end of the pause or cost
+        a hedge, so other replicas are preferred until it answers.
         """
         return frozenset(
             attempt.replica
@@ -429,8 +430,10 @@
         )
 
     def _get_stall_limit(self, call: Call) -> float:
-        median = self._get_recent(call).median
-        return NEVER if median is None else max(SHORTEST_STALL, STALL_RATIO * median)
+        median = self._get_latencies(call).median
+        return (
+            NEVER if median is None else max(MIN_STALL_S, STALL_MEDIAN_FACTOR * median)
+        )
 
     def _start(
         self, progress: Progress, chosen: Chosen, cause: Cause, now: float
@@ -461,27 +464,36 @@
 
     # Ends of attempts and retries.
 
-    def _learn(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
+    def _record_end(self, attempt: Attempt, ended: AttemptEnded, now: float) -> None:
         replica = attempt.replica
-        own = replica.in_flight
+        own_in_flight = replica.in_flight
         replica.in_flight -= 1
         if ended.report is not None:
-            replica.note_answer(ended.report, started=attempt.started, own=own, now=now)
+            replica.note_answer(
+                ended.report,
+                started=attempt.started,
+                own_in_flight=own_in_flight,
+                now=now,
+            )
         replica.note_end(
             ended.outcome,
-            elapsed=self._weigh(attempt.call, ended.elapsed),
+            elapsed=self._normalize_latency(attempt.call, ended.elapsed),
             fresh=attempt.fresh,
             now=now,
-            dice=self.random,
-            typical=self._find_typical(),
+            rng=self.random,
+            fastest_slowness=self._find_fastest_slowness(),
         )
-        if attempt.progress is None and self._is_overtaken(attempt, ended, now):
-            replica.add_blame(BLAME[Reason.DEADLINE], now=now, dice=self.random)
-        # A hedge runs only when the first attempt is slow. Counted, its fast answers
-        # would pull the quantile down, and each hedge would bring on more of them.
+        if attempt.progress is None and self._was_cancelled_as_slow(
+            attempt, ended, now
+        ):
+            replica.count_failure(
+                FAILURE_WEIGHTS[Reason.DEADLINE], now=now, rng=self.random
+            )
+        # A hedge runs only when the first attempt is slow. If its fast answers were
+        # counted, they would lower the quantile and cause more hedges.
         if attempt.cause == "hedge":
             return
-        for recent in {self._recent, self._get_recent(attempt.call)}:
+        for recent in {self._group_latencies, self._get_latencies(attempt.call)}:
             match ended.outcome:
                 case Answered():
                     recent.add(ended.elapsed)
@@ -489,36 +501,39 @@
                     if ended.elapsed >= (recent.median or 0.0):
                         recent.add(ended.elapsed)
 
-    def _get_recent(self, call: Call) -> RecentLatencies:
-        """Return the latencies that a call is held against."""
+    def _get_latencies(self, call: Call) -> RecentLatencies:
+        """Return the recent latencies that a call is compared with."""
         if not call.kind:
-            return self._recent
-        return self._kinds.get(call.kind, quantile=self._recent.quantile)
+            return self._group_latencies
+        return self._kind_latencies.get(
+            call.kind, quantile=self._group_latencies.quantile
+        )
 
-    def _weigh(self, call: Call, elapsed: float) -> float:
-        """Return how long an attempt took as a multiple of what its kind takes.
+    def _normalize_latency(self, call: Call, elapsed: float) -> float:
+        """Return the latency of an attempt in medians of its kind of call.
 
-        In seconds, a replica that had long calls would look slower than one that had
-        short ones: with three times between kinds, idle near replicas were passed over
-        for remote ones whose last call had been a short one.
+        In seconds, a replica that served long calls would look slower than one that
+        served short calls, and idle near replicas would be passed over for remote ones.
         """
-        median = self._get_recent(call).median
+        median = self._get_latencies(call).median
         return elapsed / median if median else 1.0
 
-    def _is_overtaken(self, attempt: Attempt, ended: AttemptEnded, now: float) -> bool:
-        """Tell whether an attempt was cut because it was slow, not for the caller.
+    def _was_cancelled_as_slow(
+        self, attempt: Attempt, ended: AttemptEnded, now: float
+    ) -> bool:
+        """Return whether an attempt was cancelled because its server was slow.
 
-        A server that accepts calls and never answers shows no other sign: we cancel
-        each attempt when a hedge has won or the deadline has come.
+        A server that accepts calls and never answers shows no other sign, as each of
+        its attempts is cancelled when a hedge wins or at the deadline.
         """
         match ended.outcome:
             case Unknown(reason=Reason.CANCELLED):
-                delay = self._get_recent(attempt.call).delay
+                delay = self._get_latencies(attempt.call).delay
                 is_slow = delay is not None and ended.elapsed >= 2 * delay
                 return is_slow or now >= attempt.call.deadline
         return False
 
-    def _settle(
+    def _handle_outcome(
         self,
         progress: Progress,
         attempt: Attempt,
@@ -540,11 +555,11 @@
             self._finish(progress, progress.get_failure() or outcome, effects)
 
     def _retry(self, progress: Progress, now: float, effects: list[Effect]) -> bool:
-        """Start or queue one more attempt; False when there can be none."""
+        """Start or queue another attempt; return False if none is possible."""
         call = progress.call
-        # Once a byte of a non-idempotent call may have left, a second attempt could
-        # run it twice: a sponsor billed twice. Only the server's or the connection's
-        # proof that it has not run allows another.
+        # Once a byte of a non-idempotent call may have left, another attempt could run
+        # it twice. Only proof from the server or the connection that it has not run
+        # allows one.
         if progress.unknown is not None and not call.idempotent:
             return False
         if progress.n_attempts >= _limit_attempts(call):
@@ -575,9 +590,10 @@
         return True
 
     def _may_spend_retry(self, progress: Progress, now: float) -> bool:
-        # A refusal cost its server next to nothing, and the server that refused is
-        # excluded, backed off or ejected: such a retry can not amplify an outage.
-        # One that may have run did cost a slot's time, and is paid for.
+        # Retries of refusals are free unless the platform counts them: a refusal costs
+        # its server next to nothing, and the server is excluded, backed off or ejected,
+        # so they cannot amplify an outage. An attempt that may have run used a slot and
+        # is charged.
         if progress.unknown is None and not self.service.extra.counts_refusals:
             return True
         return self._retries.spend(now=now)
@@ -588,16 +604,16 @@
         call = progress.call
         due = self._get_hedge_time(progress)
         if due <= now:
-            # It was due, but there was no free slot or no token: look again.
-            pause = (self._get_recent(call).delay or 0.0) / LOOKS_PER_DELAY
-            due = now + max(SHORTEST_HEDGE_DELAY, pause)
+            # The hedge was due but found no free slot or no token: try again soon.
+            pause = (self._get_latencies(call).delay or 0.0) / HEDGE_TRIES_PER_DELAY
+            due = now + max(MIN_HEDGE_DELAY_S, pause)
         due = min(due, call.deadline)
         self._timers.add(due, call.call_id)
         self._timers.drop_stale(self._calls, len(self._calls))
 
     def _get_hedge_time(self, progress: Progress) -> float:
         call = progress.call
-        recent = self._get_recent(call)
+        recent = self._get_latencies(call)
         if not call.idempotent:
             return NEVER
         if progress.n_hedges >= MAX_HEDGES or self._hedges.share <= 0.0:
@@ -606,13 +622,11 @@
             return NEVER
         started = progress.attempts[-1].started
         delay = choose_hedge_delay(recent, left=call.wanted_by - started)
-        return started + max(SHORTEST_HEDGE_DELAY, delay)
+        return started + max(MIN_HEDGE_DELAY_S, delay)
 
-    def _look_after(
-        self, progress: Progress, now: float, effects: list[Effect]
-    ) -> None:
+    def _run_timer(self, progress: Progress, now: float, effects: list[Effect]) -> None:
         if progress.call.deadline <= now:
-            self._give_up(progress, Reason.DEADLINE, effects)
+            self._end_unanswered(progress, Reason.DEADLINE, effects)
             return
         hedges = self._hedge(progress, now)
         effects.extend(hedges)
@@ -621,12 +635,12 @@
             and self._waiting
             and self._may_overtake(progress, now)
         ):
-            self._blocked[progress.call.call_id] = progress
-        # Whether hedged or not: next time is another try, or the deadline.
+            self._blocked_hedges[progress.call.call_id] = progress
+        # The next timer is for another hedge or for the deadline.
         self._set_timer(progress, now)
 
     def _hedge(self, progress: Progress, now: float) -> list[Effect]:
-        """Start a second attempt on a replica with a free slot, within the budget."""
+        """Start another attempt on a replica with a free slot, within the budget."""
         if self._is_stopping:
             return []
         if self._waiting and not self._may_overtake(progress, now):
@@ -656,39 +670,39 @@
         return [WithholdHedge(call=progress.call, why=why)]
 
     def _may_overtake(self, progress: Progress, now: float) -> bool:
-        """Tell whether a hedge of this call may take a slot before calls that wait.
+        """Return whether a hedge of this call may take a slot before waiting calls.
 
-        While calls wait a free slot is theirs: a hedge would delay one call to speed
-        up another. But a straggler holds its whole query, for many times what the
-        calls that wait lose by one slot; so it may, within the budget, unless the
-        queue is so long that the group has more work than slots.
+        Free slots go to waiting calls first, as a hedge would delay one call to speed
+        up another. A straggler, though, delays its whole query by far more than one
+        slot costs a waiting call. So it may go first, within the budget, unless the
+        queue is longer than the number of slots, which is a sign of overload.
         """
         n_slots = sum(replica.server.slots for replica in self._replicas)
         is_short = len(self._waiting) <= n_slots
         return is_short and self._is_straggling(progress, now)
 
-    def _hedge_blocked(self, now: float, effects: list[Effect]) -> None:
-        """Hedge stragglers that found no slot, before calls that wait take this one."""
-        for call_id, progress in list(self._blocked.items()):
+    def _start_blocked_hedges(self, now: float, effects: list[Effect]) -> None:
+        """Hedge blocked stragglers before waiting calls take the free slot."""
+        for call_id, progress in list(self._blocked_hedges.items()):
             if call_id not in self._calls or not progress.attempts:
-                del self._blocked[call_id]
+                del self._blocked_hedges[call_id]
                 continue
             hedges = self._hedge(progress, now)
             effects.extend(hedges)
             if _has_started(hedges):
-                self._blocked.pop(call_id, None)
+                self._blocked_hedges.pop(call_id, None)
                 self._set_timer(progress, now)
 
     def _is_straggling(self, progress: Progress, now: float) -> bool:
         waited = now - progress.attempts[-1].started
-        median = self._get_recent(progress.call).median or 0.0
-        return waited >= STRAGGLER_RATIO * median
+        median = self._get_latencies(progress.call).median or 0.0
+        return waited >= STRAGGLER_MEDIAN_FACTOR * median
 
     def _is_reserved(self, progress: Progress, now: float) -> bool:
-        """Tell whether the tokens left are for slower attempts than this call's."""
+        """Return whether the remaining tokens are reserved for slower calls."""
         return (
             not self._is_straggling(progress, now)
-            and self._hedges.tokens < 1.0 + HEDGE_RESERVE
+            and self._hedges.tokens < 1.0 + STRAGGLER_HEDGE_TOKENS
         )
 
     # Outcomes.
@@ -700,7 +714,7 @@
 
     def _refuse_overload(self, progress: Progress, capacity: Capacity) -> FinishCall:
         self._n_refused += 1
-        wait = self._admission.estimate_absence(len(self._waiting), capacity)
+        wait = self._admission.estimate_retry_delay(len(self._waiting), capacity)
         refusal = self._make_refusal(Step.QUEUE, Reason.OVERLOADED, wait)
         return FinishCall(call=progress.call, outcome=refusal, server="", n_attempts=0)
 
@@ -709,7 +723,7 @@
     ) -> NotRun:
         retry_after_ms = 0
         if wait is not None:
-            retry_after_ms = suggest_retry_after(wait, self.random.random())
+            retry_after_ms = compute_retry_after_ms(wait, self.random.random())
         return NotRun(
             step=step,
             peer=self.group.name,
@@ -717,10 +731,10 @@
             retry_after_ms=retry_after_ms,
         )
 
-    def _give_up(
+    def _end_unanswered(
         self, progress: Progress, reason: Reason, effects: list[Effect]
     ) -> None:
-        """End a call for which an answer is no longer of use."""
+        """End a call whose answer is no longer needed."""
         outcome: Outcome
         if progress.attempts:
             progress.server = progress.attempts[0].replica.server.name
@@ -757,5 +771,5 @@
 
 
 def _limit_attempts(call: Call) -> int:
-    """Return to how many servers a call may be sent, hedges included."""
+    """Return how many attempts a call may have, hedges included."""
     return min(MAX_ATTEMPTS, call.max_attempts or MAX_ATTEMPTS)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,15 +1,15 @@
-"""Admission: what may wait, in which order, and what is refused at once."""
+"""Admission of calls to a group: which may wait, in what order, which are refused."""
 
 from random import Random
 
 import pytest
 
 from lavendergap.coordination.admission import (
-    LONGEST_RETRY_AFTER,
-    TARGET_PRESSURE,
-    Arrivals,
-    compute_level,
-    suggest_retry_after,
+    MAX_RETRY_AFTER_S,
+    TARGET_WAIT_SHARE,
+    ArrivalRate,
+    compute_admitted_share,
+    compute_retry_after_ms,
 )
 from lavendergap.state.outcome import NotRun, Reason
 
@@ -18,9 +18,8 @@
 
 class TestAdmission:
     def test_a_call_that_can_not_finish_is_refused_at_once(self):
-        # Twice the calls arrive that two slots can serve. Were all queued, each
-        # would wait most of its deadline, be started too late, and be thrown away:
-        # the servers work at full load and nobody gets an answer.
+        # Guards against queueing twice the calls that the slots can serve, which would
+        # all be started too late.
         owner = make_owner("a", slots=1, queue_limit=100)
         owner.warm_up(elapsed=0.100)
         for _ in range(8):
@@ -45,8 +44,7 @@
         assert [s.call.call_id for s in owner.started] == [1, 3, 4, 2]
 
     def test_the_most_urgent_is_served_first_whatever_its_deadline(self):
-        # An operator ranks a search over a quick look with a shorter deadline. Of
-        # those that wait, the searches go first, each by its deadline.
+        # Guards against a short deadline going before a higher priority.
         owner = make_owner("a", slots=1)
         for in_ms, priority in ((500, 2), (300, 2), (500, 1), (400, 1)):
             owner.submit(in_ms=in_ms, priority=priority)
@@ -82,13 +80,13 @@
         assert owner.started[-1].call.call_id == 3
 
     def test_the_time_to_come_back_is_bounded(self):
-        assert suggest_retry_after(3_600.0, 0.0) == LONGEST_RETRY_AFTER * 1_000
-        assert suggest_retry_after(0.0, 0.0) == 20
+        assert compute_retry_after_ms(3_600.0, 0.0) == MAX_RETRY_AFTER_S * 1_000
+        assert compute_retry_after_ms(0.0, 0.0) == 20
 
 
 class TestArrivals:
     def test_a_rise_is_seen_within_a_second_and_a_pause_is_forgotten(self):
-        arrivals = Arrivals()
+        arrivals = ArrivalRate()
         for n in range(200):
             arrivals.add(now=n / 100)
         for n in range(1_000):
@@ -99,7 +97,7 @@
         assert arrivals.rate == pytest.approx(50, rel=0.05)
 
     def test_a_few_calls_at_once_are_no_rate(self):
-        arrivals = Arrivals()
+        arrivals = ArrivalRate()
         for _ in range(19):
             arrivals.add(now=1.0)
         assert arrivals.rate == 0.0
@@ -108,16 +106,15 @@
 class TestLevel:
     def test_a_longer_queue_admits_fewer_and_an_empty_one_more(self):
         levels = [
-            compute_level(demand=2.0, pressure=pressure)
-            for pressure in (0.0, TARGET_PRESSURE, 0.5, 9.0)
+            compute_admitted_share(demand=2.0, wait_share=wait_share)
+            for wait_share in (0.0, TARGET_WAIT_SHARE, 0.5, 9.0)
         ]
         assert levels == sorted(levels, reverse=True)
         assert (levels[1], levels[-1]) == (0.5, 0.0)
 
     def test_groups_under_overload_admit_the_same_queries(self):
-        # Twice the load arrives, and each group refuses half of its calls. If each
-        # chose its own half, hardly a query over 20 groups would be whole: all
-        # servers are busy, and every caller gets a board with holes.
+        # Guards against groups that each refuse other queries, so that hardly any query
+        # over many groups is complete.
         first, second = self.serve(seed=1), self.serve(seed=2)
         assert len(first & second) > 0.9 * len(first)
         assert 85 < len(first) < 115
@@ -126,7 +123,7 @@
         """Serve 400 calls that come every 5 ms on one slot that takes about 10."""
         owner = make_owner("a", slots=1, seed=seed, hedge_budget=0.0)
         owner.warm_up()
-        dice = Random(seed)
+        rng = Random(seed)
         ends_at = 0.0
         answered = set()
         for n in range(400):
@@ -135,8 +132,8 @@
                 owner.move(ends_at - owner.now)
                 (start,) = owner.open.values()
                 answered.add(start.call.request_id)
-                owner.end(start.attempt_id, elapsed=dice.uniform(0.008, 0.012))
-                ends_at += dice.uniform(0.008, 0.012)
+                owner.end(start.attempt_id, elapsed=rng.uniform(0.008, 0.012))
+                ends_at += rng.uniform(0.008, 0.012)
             owner.move(arrives_at - owner.now)
             was_idle = not owner.open
             owner.submit(request_id=f"r-{n}")
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -1,15 +1,15 @@
-"""What callers waited before their requests were read, and what answers leave for it.
+"""Estimates of the callers' wait before a request is read and after its answer.
 
-Callers 3 ms away give a search 3,024 ms and want it within 248; the figures are those
-of a deployment of 73 hosts. A kept connection's request states 3,023, a new one's 3,017
-or 3,016, since opening it took a trip there and back.
+Callers 3 ms away give a search 3,024 ms, with a goal of 248. A request on a kept
+connection states 3,023, one on a new connection 3,017 or 3,016, since opening it took a
+round trip.
 """
 
 import pytest
 
 from lavendergap.coordination.arrivals import (
-    DEFAULT_TRIP_MS,
-    MEMORY_S,
+    DEFAULT_ROUND_TRIP_MS,
+    TIME_LEFT_PERIOD_S,
     Arrival,
     Arrivals,
     compute_goal,
@@ -35,7 +35,7 @@
 
 
 class Host:
-    """A host that takes requests, each on a new connection or a kept one."""
+    """A host that receives requests, each on a new connection or a kept one."""
 
     def __init__(self) -> None:
         self.arrivals = Arrivals()
@@ -62,14 +62,14 @@
 
 class TestSpent:
     def test_a_new_connection_has_cost_its_request_a_trip(self):
-        # The caller has waited 6 ms when its request comes. Answered 12 ms before the
-        # goal as this host sees it, the answer is there 1 ms after it: late.
+        # Guards against answers that miss the goal by the time it took to open the
+        # connection.
         host = Host()
         host.settle()
         opened = host.take(3_017, is_new=True)
         kept = host.take(3_023)
         assert (opened.spent_ms, kept.spent_ms) == (6.0, 0.0)
-        assert opened.trip_ms == kept.trip_ms == 6.0
+        assert opened.round_trip_ms == kept.round_trip_ms == 6.0
 
     def test_a_request_that_was_refused_before_has_spent_what_it_waited(self):
         host = Host()
@@ -77,12 +77,12 @@
         assert host.take(2_963, is_new=True).spent_ms == 60.0
 
     def test_a_caller_that_gives_less_time_has_spent_nothing(self):
-        # Another program asks for the same with a time limit of its own: taken for a
-        # wait, it would get answers cut short for nothing.
+        # Guards against taking another program's shorter time limit for time spent,
+        # which would cut its answers short.
         host = Host()
         host.settle()
         assert host.take(1_000, is_new=True).spent_ms == 0.0
-        assert host.take(3_017, is_new=True).trip_ms == 6.0
+        assert host.take(3_017, is_new=True).round_trip_ms == 6.0
 
     def test_callers_that_gave_more_time_are_forgotten(self):
         host = Host()
@@ -91,8 +91,10 @@
         host.take(15_000)
         assert host.take(3_023, now=1.0).spent_ms == 0.0
         for second in range(1, 100):
-            host.take(3_023, now=MEMORY_S + second)
-        assert host.take(3_017, is_new=True, now=MEMORY_S + 101).spent_ms == 6.0
+            host.take(3_023, now=TIME_LEFT_PERIOD_S + second)
+        assert (
+            host.take(3_017, is_new=True, now=TIME_LEFT_PERIOD_S + 101).spent_ms == 6.0
+        )
 
     def test_routes_have_times_of_their_own(self):
         host = Host()
@@ -105,24 +107,24 @@
     def test_it_is_assumed_until_it_is_measured(self):
         host = Host()
         host.take(3_023, is_new=True)
-        assert host.take(3_023).trip_ms == DEFAULT_TRIP_MS
+        assert host.take(3_023).round_trip_ms == DEFAULT_ROUND_TRIP_MS
 
     def test_near_callers(self):
         host = Host()
         for _ in range(8):
             host.take(398, is_new=True)
             host.take(400)
-        assert host.take(400).trip_ms == 2.0
+        assert host.take(400).round_trip_ms == 2.0
 
     def test_connections_that_waited_for_a_busy_host_do_not_decide(self):
         host = Host()
         host.settle()
         host.take(2_960, is_new=True)
-        assert host.take(3_023).trip_ms == 6.0
+        assert host.take(3_023).round_trip_ms == 6.0
 
 
 class TestGoal:
-    ARRIVAL = Arrival(spent_ms=2.0, trip_ms=5.0)
+    ARRIVAL = Arrival(spent_ms=2.0, round_trip_ms=5.0)
 
     def compute(self, route: Route) -> float:
         return compute_goal(route, self.ARRIVAL, reserve_ms=RESERVE_MS)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,36 +1,36 @@
-"""What is known of replicas, and which one is chosen."""
+"""State of replicas and the choice of one."""
 
 from dataclasses import replace
 from random import Random
 
 from lavendergap.coordination.choice import Chosen, NoneLeft, choose
 from lavendergap.coordination.replicas import (
-    ANSWER_LIFETIME,
-    DRAIN_MEMORY,
-    LONGEST_EJECTION,
-    SLOW_START,
+    ANSWER_LIFETIME_S,
+    DRAIN_LIFETIME_S,
+    MAX_EJECTION_S,
+    SLOW_START_S,
     Replica,
 )
 from lavendergap.state.outcome import Reason
 
 from .groups import ANSWER, lose, make_group, make_owner, make_report, refuse
 
-NOBODY: frozenset[Replica] = frozenset()
+NO_REPLICAS: frozenset[Replica] = frozenset()
 
 
 def make_replicas(names: str = "ab", *, slots: int = 2) -> list[Replica]:
     return [Replica(server=s) for s in make_group(names, slots=slots).servers]
 
 
-def pick(replicas, *, now=100.0, version=7, typical=0.010):
+def pick(replicas, *, now=100.0, version=7, fastest_slowness=0.010):
     return choose(
         replicas,
         version=version,
-        excluded=NOBODY,
-        tried=NOBODY,
-        typical=typical,
+        excluded=NO_REPLICAS,
+        tried=NO_REPLICAS,
+        fastest_slowness=fastest_slowness,
         now=now,
-        dice=Random(1),
+        rng=Random(1),
     )
 
 
@@ -40,12 +40,14 @@
 
 
 def answer(replica, state="serving", *, started=100.0, now=100.0, **report):
-    replica.note_answer(make_report(state, **report), started=started, own=0, now=now)
+    replica.note_answer(
+        make_report(state, **report), started=started, own_in_flight=0, now=now
+    )
 
 
 def fail(replica, reason=Reason.REFUSED_CONNECTION, *, now=100.0, fresh=False):
     outcome = refuse(reason) if reason is Reason.REFUSED_CONNECTION else lose(reason)
-    replica.note_end(outcome, elapsed=0.01, fresh=fresh, now=now, dice=Random(1))
+    replica.note_end(outcome, elapsed=0.01, fresh=fresh, now=now, rng=Random(1))
 
 
 class TestChoice:
@@ -59,17 +61,16 @@
 
     def test_a_slower_replica_is_avoided_until_its_past_fades(self):
         a, b = replicas = make_replicas()
-        a.note_end(ANSWER, elapsed=0.050, fresh=False, now=100.0, dice=Random(1))
-        b.note_end(ANSWER, elapsed=0.010, fresh=False, now=100.0, dice=Random(1))
+        a.note_end(ANSWER, elapsed=0.050, fresh=False, now=100.0, rng=Random(1))
+        b.note_end(ANSWER, elapsed=0.010, fresh=False, now=100.0, rng=Random(1))
         assert pick_name(replicas) == "b"
         b.in_flight = 1
         assert pick_name(replicas, now=101.0) == "b"
         assert pick_name(replicas, now=110.0) == "a"
 
     def test_all_replicas_ejected_means_all_are_candidates(self):
-        # The switch above this host fails for a moment, and every attempt is
-        # refused. Were all servers ejected, every call would be refused unsent for
-        # as long as the ejections last, although the servers are well.
+        # Guards against refusing every call when a network failure on this host's side
+        # has ejected all servers.
         a, b = replicas = make_replicas()
         fail(a)
         assert pick_name(replicas) == "b"
@@ -99,7 +100,7 @@
             spans.append(a.ejected_until - now)
             now = a.ejected_until
         assert spans[3] > 4 * spans[0]
-        assert max(spans) <= LONGEST_EJECTION * 1.2
+        assert max(spans) <= MAX_EJECTION_S * 1.2
 
     def test_one_lost_connection_is_no_proof_against_the_server(self):
         (a,) = make_replicas("a")
@@ -114,41 +115,41 @@
         assert a.ejected_until > 100.0
 
     def test_a_server_comes_back_gradually(self):
-        # A restarted server has cold caches. All slots at once would make its first
-        # answers late together, and eject it again.
+        # Guards against filling all slots of a server with cold caches, which would
+        # make its answers late and eject it again.
         a, b = replicas = make_replicas("ab", slots=6)
         fail(a)
         back = a.ejected_until
         assert pick_name(replicas, now=back) == "b"
-        limits = [a.limit(back + SLOW_START * share) for share in (0, 0.5, 1)]
+        limits = [a.limit(back + SLOW_START_S * share) for share in (0, 0.5, 1)]
         assert limits == [1, 1, 1]
-        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=back, dice=Random(1))
-        limits = [a.limit(back + SLOW_START * share) for share in (0, 0.5, 1)]
+        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=back, rng=Random(1))
+        limits = [a.limit(back + SLOW_START_S * share) for share in (0, 0.5, 1)]
         assert limits == [1, 3, 6]
 
     def test_a_server_back_on_trial_is_ejected_by_one_failure(self):
         (a,) = make_replicas("a")
         fail(a)
         back = a.ejected_until
-        assert a.limit(back + 2 * SLOW_START) == 1
+        assert a.limit(back + 2 * SLOW_START_S) == 1
         a.note_end(
             refuse(Reason.VERSION_GONE),
             elapsed=0,
             fresh=False,
             now=back,
-            dice=Random(1),
+            rng=Random(1),
         )
         assert a.ejected_until == back
         fail(a, Reason.DEADLINE, now=back)
         assert a.ejected_until > back
         end = a.ejected_until
-        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=end, dice=Random(1))
+        a.note_end(ANSWER, elapsed=0.01, fresh=False, now=end, rng=Random(1))
         fail(a, Reason.DEADLINE, now=end)
         assert a.ejected_until == end
 
     def test_a_hanging_server_is_ejected_though_hedges_save_its_calls(self):
-        # The server accepts and never answers. Hedges overtake its calls, so no call
-        # fails, but each costs a token; when those are spent, queries lose a shard.
+        # Guards against a server that never answers and spends the hedge budget, as no
+        # call fails.
         owner = make_owner("ab", hedge_budget=0.3)
         owner.warm_up()
         was_ejected = False
@@ -165,8 +166,8 @@
         assert was_ejected
 
     def test_a_hanging_server_is_ejected_by_its_deadlines(self):
-        # The server accepts and never answers. The calls are cancelled at their
-        # deadline by us, so the transport reports nothing but its own cancellation.
+        # Guards against a server that never answers but whose attempts are only
+        # reported as cancelled.
         owner = make_owner("ab", slots=1)
         owner.observe("b", make_report("draining"))
         for _ in range(3):
@@ -181,7 +182,7 @@
     def test_a_server_that_sheds_is_left_alone_as_long_as_it_asks(self):
         a, b = replicas = make_replicas()
         shed = refuse(Reason.SHED, retry_after_ms=200)
-        a.note_end(shed, elapsed=0.001, fresh=False, now=100.0, dice=Random(1))
+        a.note_end(shed, elapsed=0.001, fresh=False, now=100.0, rng=Random(1))
         b.in_flight = 1
         assert pick_name(replicas, now=100.19) == "b"
         assert pick_name(replicas, now=100.21) == "a"
@@ -195,50 +196,51 @@
         assert pick_name(replicas) == "b"
 
     def test_a_health_endpoint_that_lies_brings_no_work_to_a_leaving_server(self):
-        # The server drains and says so in its answers; its health endpoint goes on
-        # saying "serving". Believed, it would get new calls until it is killed.
+        # Guards against new calls to a draining server whose health endpoint still
+        # reports "serving".
         a, _ = make_replicas()
         answer(a, "draining")
-        for second in range(1, int(DRAIN_MEMORY)):
+        for second in range(1, int(DRAIN_LIFETIME_S)):
             a.note_health(make_report("serving"), now=100.0 + second)
             assert a.state == "draining"
-        a.note_health(make_report("serving"), now=100.0 + DRAIN_MEMORY)
+        a.note_health(make_report("serving"), now=100.0 + DRAIN_LIFETIME_S)
         assert a.state == "serving"
 
     def test_a_restarted_server_is_taken_back(self):
         a, _ = make_replicas()
         answer(a, "draining")
-        a.note_no_health(now=101.0, dice=Random(1))
+        a.note_no_health(now=101.0, rng=Random(1))
         a.note_health(make_report("starting"), now=102.0)
         assert (a.state, a.limit(102.0)) == ("starting", 1)
         a.note_health(make_report("serving"), now=103.0)
         assert a.state == "serving"
 
     def test_an_answer_from_before_the_drain_does_not_undo_it(self):
-        # Two answers cross: the later one left the server before the drain began.
+        # Guards against an older answer that arrives after the one that reported the
+        # drain.
         a, _ = make_replicas()
         answer(a, "draining", started=99.9, now=100.0)
         answer(a, "serving", started=99.8, now=100.1)
         assert a.state == "draining"
 
     def test_all_said_to_drain_by_health_alone_is_put_to_the_test(self):
-        # The health endpoints of all replicas mislead. Believed, the shard would be
-        # missing from every answer; one attempt gets the truth from the server.
+        # Guards against losing a shard when all health endpoints wrongly report
+        # "draining".
         a, b = replicas = make_replicas()
         a.note_health(make_report("draining"), now=100.0)
         b.note_health(make_report("draining"), now=100.0)
-        assert "all said to drain" in pick(replicas).why
+        assert "all reported draining" in pick(replicas).why
         answer(a, "draining", started=100.1, now=100.2)
         answer(b, "draining", started=100.1, now=100.2)
         assert pick(replicas) == NoneLeft(reason=Reason.NO_REPLICA)
 
 
 class TestAddressTaken:
-    """A server has gone, and another service's has its address; the registry lags."""
+    """A server is gone and another service's has its address; the registry is late."""
 
     def test_one_refusal_is_enough(self):
-        # Each query would go on calling there, and the server that has moved in sees
-        # twice the calls of each: its group's budget of extra calls was exceeded.
+        # Guards against further calls to the new server, beyond its group's budget of
+        # extra calls.
         owner = make_owner("ab")
         for _ in range(20):
             owner.submit()
@@ -273,7 +275,7 @@
         answer(a, versions=(6, 7))
         a.note_health(make_report(versions=(8,)), now=100.1)
         assert a.may_serve(7)
-        late = 100.1 + ANSWER_LIFETIME
+        late = 100.1 + ANSWER_LIFETIME_S
         a.note_health(make_report(versions=(8,)), now=late)
         assert not a.may_serve(7)
 
@@ -281,9 +283,9 @@
         (a,) = make_replicas("a")
         for second in range(10):
             now = 100.0 + second
-            a.note_no_health(now=now, dice=Random(1))
-            a.note_end(ANSWER, elapsed=0.01, fresh=False, now=now, dice=Random(1))
+            a.note_no_health(now=now, rng=Random(1))
+            a.note_end(ANSWER, elapsed=0.01, fresh=False, now=now, rng=Random(1))
         assert a.ejected_until <= 100.0
-        a.note_no_health(now=120.0, dice=Random(1))
-        a.note_no_health(now=121.0, dice=Random(1))
+        a.note_no_health(now=120.0, rng=Random(1))
+        a.note_no_health(now=121.0, rng=Random(1))
         assert a.ejected_until > 121.0
