--- a/src/lavendergap/entry/forwarding.py
+++ b/src/lavendergap/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""What this host does with a caller's request that goes on unchanged."""
+"""Forwards callers' requests unchanged to backend servers."""
 
 from collections.abc import Mapping, Sequence
 from contextlib import ExitStack
@@ -19,11 +19,11 @@
 from .fleet import Fleet
 from .owner import Owner
 from .quarantine import QuarantineKeeper
-from .search import GreatestWanted, Query, SearchRun
+from .search import GreatestQuery, Query, SearchRun
 
 
 class Forwarder:
-    """Sends each request to the servers of its route and returns what came of it.
+    """Sends each request to the servers of its route and returns the outcome.
 
     `regions` holds the region of each data centre, for routes with home regions.
     """
@@ -50,7 +50,7 @@
     async def forward(self, request: GatewayRequest, after: ExitStack) -> GatewayResult:
         """Forward a request until its deadline; the caller may cancel it before.
 
-        What is left to do once it is answered is put on `after`.
+        Work that can wait until the request is answered is put on `after`.
         """
         standing = self._quarantine.judge(request.forward, request.body)
         if standing is Standing.HELD:
@@ -67,17 +67,17 @@
                         peer=request.route.name,
                         reason=Reason.UNKNOWN_SERVICE,
                     )
-                return await self._ask_one(request, group, is_suspect, after)
+                return await self._forward_to_one(request, group, is_suspect, after)
             case GreatestOfAll() as target:
-                return await self._ask_all(request, target, is_suspect, after)
+                return await self._query_all(request, target, is_suspect, after)
 
-    def _strike(
+    def _add_strike(
         self, request: GatewayRequest, servers: Sequence[str], *, is_trial: bool
     ) -> None:
-        """Tell all hosts of a request that ended servers, before its caller is told.
+        """Announce a request that crashed servers to all hosts, before it is answered.
 
-        The caller's repeat is at another host within milliseconds. Met there as an
-        ordinary request, it would end the groups' other servers.
+        The caller may retry at another host within milliseconds; treated there as an
+        ordinary request, it would crash the groups' other servers.
         """
         self._quarantine.note_ends(
             request.forward, request.body, servers=tuple(servers), is_trial=is_trial
@@ -86,7 +86,7 @@
     def _note_answer(self, request: GatewayRequest) -> None:
         self._quarantine.note_answer(request.forward, request.body)
 
-    def _list_home(self, route: Route) -> frozenset[str] | None:
+    def _list_home_data_centres(self, route: Route) -> frozenset[str] | None:
         """Return the data centres in which a route's requests may run; None for all."""
         if not route.home_regions:
             return None
@@ -96,7 +96,7 @@
             if region in route.home_regions
         )
 
-    async def _ask_one(
+    async def _forward_to_one(
         self, request: GatewayRequest, group: str, is_suspect: bool, after: ExitStack
     ) -> Outcome:
         ended: list[FinishCall] = []
@@ -121,7 +121,7 @@
             priority=request.route.priority,
             kind=request.route.name,
             wanted_by=request.goal,
-            data_centres=self._list_home(request.route),
+            data_centres=self._list_home_data_centres(request.route),
         )
         self._owner.submit([Wanted(call=call, finish=finish)])
         try:
@@ -132,12 +132,12 @@
         [end] = ended
         servers = (end.server,) if is_server_end(end.outcome) else ()
         if servers:
-            self._strike(request, servers, is_trial=is_suspect)
+            self._add_strike(request, servers, is_trial=is_suspect)
         elif isinstance(end.outcome, Answered):
             after.callback(self._note_answer, request)
         return end.outcome
 
-    async def _ask_all(
+    async def _query_all(
         self,
         request: GatewayRequest,
         target: GreatestOfAll,
@@ -153,14 +153,14 @@
                 body=request.body,
                 started=request.started,
                 deadline=request.deadline,
-                greatest=GreatestWanted(
+                greatest=GreatestQuery(
                     request=request.forward,
                     n_wanted=target.n_records,
                     max_attempts=request.route.max_attempts,
                     priority=request.route.priority,
                     goal=request.goal,
                     is_suspect=is_suspect,
-                    data_centres=self._list_home(request.route),
+                    data_centres=self._list_home_data_centres(request.route),
                 ),
             ),
             snapshot=Snapshot(
@@ -180,15 +180,15 @@
         try:
             return await run.run_greatest(after)
         finally:
-            # Also when the caller has left: servers ended under it all the same.
+            # Also if the caller has cancelled: servers may have crashed by then.
             if run.has_answer:
                 after.callback(self._note_answer, request)
             elif run.ended_servers:
-                self._strike(request, run.ended_servers, is_trial=is_suspect)
+                self._add_strike(request, run.ended_servers, is_trial=is_suspect)
 
 
 def _make_service(route: Route, target: GreatestOfAll, goal_ms: float) -> Service:
-    """Return the route as the service that a query of it asks."""
+    """Return a service with the route's settings, as a query needs one."""
     return Service(
         name=route.name,
         idempotent=True,
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -1,4 +1,4 @@
-"""One query over the owners of its shards: who is asked, and what is made of it."""
+"""Scatter-gather of one query: sends it to its shards' owners and joins the answers."""
 
 import logging
 from collections import Counter
@@ -39,40 +39,35 @@
 
 logger = logging.getLogger("lavendergap.route")
 
-# A shard whose owner was lost goes to the host ranked next, and once more after
-# that: two lost in one query is a rack, more is a data centre, and by then most of
-# the deadline is gone.
+# Two lost owners cover the failure of a rack. After more, too little of the deadline
+# is left for another attempt.
 MAX_OWNERS_TRIED = 3
-# An owner of which no byte has come after this share of the time left is pinged, and
-# after the second share it is lost: its shards go to the hosts ranked next while
-# there is time. A live owner answers a ping within a turn of its loop.
+# Shares of the time left. An owner from which no byte has arrived is pinged after the
+# first and given up after the second; its shards then go to the hosts ranked next.
 PING_SHARE = 0.2
-LOSE_SHARE = 0.45
-# However soon the goal is, an owner has this long to show that it lives, in seconds. A
-# weak host that has just been sent 25 calls, or reads new routes, answers a ping after
-# 20 to 40 ms, and on a loaded day after more. Taken for lost at 15, its work was done
-# twice, by others as busy; at 50 busy ones were still passed over for 2 s. What is
-# asked again comes after the goal of a search at either time, so that nothing is lost
-# by waiting.
-SHORTEST_LOSS = 0.15
-# A channel may take this long to open, in seconds, before its owner is lost: a new one
-# takes 20 to 100 ms at a weak host. At a fifth of the time to the goal, 7 ms of a quick
-# look, live owners were passed over for 2 s. Half of a search's goal is left after it,
-# and as nothing has been sent, the next owner may do all that the lost one might.
-SHORTEST_DIAL = 0.05
-# A check that comes later than it was due by this many seconds tells of this process.
-OWN_STALL = 0.02
+GIVE_UP_SHARE = 0.45
+# An owner is not given up for silence before this, however close the goal is. A busy
+# host answers a ping late; giving it up duplicates its work on hosts as busy, and it
+# gets no new work for seconds.
+MIN_SILENCE_S = 0.15
+# A channel has at least this long to open: a busy host accepts one late. Nothing has
+# been sent by then, so the next owner may still use all attempts.
+MIN_DIAL_S = 0.05
+# A check that runs later than this after it was due shows that this process was slow,
+# not the owner.
+LOCAL_DELAY_S = 0.02
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class GreatestWanted:
+class GreatestQuery:
     """A query for the `n_wanted` greatest records of all shards.
 
-    `goal` is the time on the loop's clock by which an answer is wanted; `request`
-    goes to one server of each shard, and to `max_attempts` at most. One that
-    `is_suspect` goes to a server of one shard first, and to the others once one has
-    answered: a server may have ended under it. With `data_centres` only servers there
-    may run it, and only hosts there may own its shards, beside this one.
+    `goal` is the time on the loop's clock by which an answer is wanted. `request` is
+    sent to one server of each shard, or up to `max_attempts` with hedges and retries.
+    A request that `is_suspect` may have crashed a server: it goes to a server of one
+    shard first, and to the other shards once a server has answered. If `data_centres`
+    is set, only servers there may run it, and only this host and hosts there may own
+    its shards.
     """
 
     request: ForwardedRequest
@@ -86,19 +81,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Query:
-    """A caller's query; `deadline` is in seconds on the loop's clock."""
+    """A caller's query; `started` and `deadline` are in seconds on the loop's clock."""
 
     request_id: str
     service: Service
     body: bytes
     started: float
     deadline: float
-    greatest: GreatestWanted | None = None
+    greatest: GreatestQuery | None = None
 
 
 @dataclass(kw_only=True, slots=True)
-class Part:
-    """The shards of a query that one owner was asked for, and those still open."""
+class SubQuery:
+    """The shards of a query sent to one owner, and those it has not answered yet."""
 
     host: str
     channel: Channel | None = None
@@ -112,10 +107,10 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Parked:
-    """A shard that nobody is asked for until some server has answered the query.
+class DeferredShard:
+    """A shard that is not sent to any owner until a server has answered the query.
 
-    `host` is the owner whose server ended under it; None before any was asked.
+    `host` is the owner whose server crashed on it; None if it was not sent yet.
     """
 
     shard: Shard
@@ -125,7 +120,7 @@
 class SearchRun:
     """One query at one snapshot.
 
-    `ended_servers` are those that ended under it, as far as it has heard.
+    `ended_servers` are the servers that are known to have crashed while running it.
     """
 
     def __init__(
@@ -147,19 +142,19 @@
         self._dialer = dialer
         self._nursery = nursery
         self.ended_servers: list[str] = []
-        self._parked: list[Parked] = []
-        self._parts: list[Part] = []
-        self._tried: dict[str, list[str]] = {}
-        self._n_uncertain: Counter[str] = Counter()
+        self._deferred: list[DeferredShard] = []
+        self._sub_queries: list[SubQuery] = []
+        self._owners_tried: dict[str, list[str]] = {}
+        self._n_possible_attempts: Counter[str] = Counter()
         self._refusals: list[NotRun] = []
         self._may_have_run = False
         self._records: list[bytes] = []
         self._proofs: dict[str, Headers] = {}
-        self._horizon = query.deadline
+        self._answer_by = query.deadline
         if query.greatest is not None:
-            self._horizon = min(query.deadline, query.greatest.goal)
-        self._began = trio.current_time()
-        self._times: list[float] = []
+            self._answer_by = min(query.deadline, query.greatest.goal)
+        self._run_started = trio.current_time()
+        self._response_times: list[float] = []
         self._progress = trio.Event()
         self._cut_at: float | None = None
         self._join = Join(
@@ -171,14 +166,14 @@
 
     @property
     def needs_newer_snapshot(self) -> bool:
-        """Whether a shard lacks this index version and another one may do."""
+        """Whether a shard lacks this index version and another one may be complete."""
         return self._join.needs_newer_snapshot
 
     @property
     def is_congested(self) -> bool:
-        """Whether the groups refused part of it, or answered late as a whole."""
-        limit = self._query.deadline - self._began
-        return bool(self._refusals) or is_slow(self._times, limit=limit)
+        """Whether groups refused calls, or most shards answered slowly."""
+        limit = self._query.deadline - self._run_started
+        return bool(self._refusals) or is_slow(self._response_times, limit=limit)
 
     @property
     def has_answer(self) -> bool:
@@ -186,55 +181,57 @@
         return bool(self._proofs)
 
     async def run(self) -> SearchResult | Refusal:
-        """Ask every owner, join the answers, give up when policy or time say so."""
-        await self._collect()
+        """Query every owner and join the answers, as long as policy and deadline allow.
+
+        Calls that are still open are cancelled before it returns.
+        """
+        await self._search_and_cancel()
         return self._conclude()
 
     async def run_greatest(self, after: ExitStack) -> JoinedRecords | NotRun | Unknown:
         """Do the same, for the greatest records of all shards together.
 
-        What is left to do once the caller has its answer is put on `after`: telling
-        each owner that its stragglers are not wanted takes a weak host milliseconds,
-        and an answer that is cut shortly before the goal has none to lose.
+        Open calls are cancelled by a callback on `after`, once the caller has its
+        answer: sending the cancellations first could delay the answer past its goal.
         """
-        after.callback(self._withdraw)
+        after.callback(self._cancel_open)
         await self._search()
         return self._conclude_greatest()
 
-    async def _collect(self) -> None:
+    async def _search_and_cancel(self) -> None:
         try:
             await self._search()
         finally:
-            self._withdraw()
+            self._cancel_open()
 
     async def _search(self) -> None:
         shards = list(self._snapshot.shards)
         greatest = self._query.greatest
         if greatest is not None and greatest.is_suspect:
-            # A canary: sent to all, it would end a server of each shard.
-            self._parked = [Parked(shard=shard) for shard in shards[1:]]
+            # Sent to all shards at once, it could crash a server of each.
+            self._deferred = [DeferredShard(shard=shard) for shard in shards[1:]]
             shards = shards[:1]
         self._send(shards)
         await self._wait()
 
     async def _wait(self) -> None:
         while True:
-            # What is asked for now may be refused at once, with nothing to wait for.
-            self._check_parked()
+            # First, as a shard sent now may be refused at once and complete the join.
+            self._check_deferred()
             if self._join.is_done or self._join.needs_newer_snapshot:
                 break
             limit = self._query.deadline
             wake_at = self._join.next_wake()
             if wake_at is not None:
                 limit = min(limit, wake_at)
-            for part in self._parts:
-                limit = min(limit, part.check_at)
+            for sub_query in self._sub_queries:
+                limit = min(limit, sub_query.check_at)
             self._progress = trio.Event()
             with trio.move_on_at(limit):
                 await self._progress.wait()
             now = trio.current_time()
             self._advance_join(now)
-            self._check_parts(now)
+            self._check_sub_queries(now)
             if now >= self._query.deadline:
                 break
 
@@ -244,42 +241,42 @@
         if self._join.is_done:
             self._cut_at = wake_at
 
-    def _check_parts(self, now: float) -> None:
-        """Find owners that are silent while there is still time to ask others."""
-        for part in list(self._parts):
-            if now < part.check_at:
+    def _check_sub_queries(self, now: float) -> None:
+        """Ping silent owners; give them up while others still have time to answer."""
+        for sub_query in list(self._sub_queries):
+            if now < sub_query.check_at:
                 continue
-            channel = part.channel
-            if not part.open_shards or (
-                channel is not None and channel.has_received_since(part.sent_at)
+            channel = sub_query.channel
+            if not sub_query.open_shards or (
+                channel is not None and channel.has_received_since(sub_query.sent_at)
             ):
-                part.check_at = float("inf")
-            elif now - part.check_at > OWN_STALL:
-                # This process was late itself, and what the owner sent may lie
-                # unread in the socket. Blamed for that, live owners would be passed
-                # over, and a second one fill the same slots, on each busy moment.
-                part.check_at = now + OWN_STALL
-            elif channel is not None and not part.is_pinged:
-                part.is_pinged = True
-                lose_at = self._share_time(part.sent_at, LOSE_SHARE)
-                lose_at = max(lose_at, part.sent_at + SHORTEST_LOSS)
-                part.check_at = max(lose_at, now + OWN_STALL)
+                sub_query.check_at = float("inf")
+            elif now - sub_query.check_at > LOCAL_DELAY_S:
+                # This process was late itself, and the owner's reply may lie unread
+                # in the socket. Giving the owner up would repeat its calls elsewhere
+                # whenever this host is busy.
+                sub_query.check_at = now + LOCAL_DELAY_S
+            elif channel is not None and not sub_query.is_pinged:
+                sub_query.is_pinged = True
+                give_up_at = self._time_at_share(sub_query.sent_at, GIVE_UP_SHARE)
+                give_up_at = max(give_up_at, sub_query.sent_at + MIN_SILENCE_S)
+                sub_query.check_at = max(give_up_at, now + LOCAL_DELAY_S)
                 channel.ping()
-            elif channel is None and now < part.sent_at + SHORTEST_DIAL:
-                part.check_at = part.sent_at + SHORTEST_DIAL
+            elif channel is None and now < sub_query.sent_at + MIN_DIAL_S:
+                sub_query.check_at = sub_query.sent_at + MIN_DIAL_S
             else:
-                part.check_at = float("inf")
-                self._lose(part, Loss.SILENT)
+                sub_query.check_at = float("inf")
+                self._handle_loss(sub_query, Loss.SILENT)
 
-    def _share_time(self, since: float, share: float) -> float:
-        return since + share * (max(self._horizon, since) - since)
+    def _time_at_share(self, since: float, share: float) -> float:
+        return since + share * (max(self._answer_by, since) - since)
 
     def _send(self, shards: list[Shard], *, is_repeat: bool = False) -> None:
         by_host: dict[str, list[Shard]] = {}
         for shard in shards:
             host = self._choose_owner(shard)
             if host is None:
-                self._miss(shard, Reason.NO_REPLICA, shard.group)
+                self._add_missing(shard, Reason.NO_REPLICA, shard.group)
             else:
                 by_host.setdefault(host, []).append(shard)
         log_decision(
@@ -287,13 +284,13 @@
             "route",
             request_id=self._query.request_id,
             version=self._snapshot.version,
-            owners={host: len(part) for host, part in by_host.items()},
+            owners={host: len(owned) for host, owned in by_host.items()},
         )
-        for host, part in by_host.items():
-            self._send_part(host, part, is_repeat=is_repeat)
+        for host, owned in by_host.items():
+            self._send_to_owner(host, owned, is_repeat=is_repeat)
 
     def _choose_owner(self, shard: Shard) -> str | None:
-        tried = self._tried.setdefault(shard.name, [])
+        tried = self._owners_tried.setdefault(shard.name, [])
         if len(tried) >= MAX_OWNERS_TRIED:
             return None
         for host in self._fleet.rank(shard.group):
@@ -309,27 +306,29 @@
         is_own = host == self._fleet.own_name
         return is_own or self._fleet.stands_in(host, greatest.data_centres)
 
-    def _send_part(self, host: str, shards: list[Shard], *, is_repeat: bool) -> None:
+    def _send_to_owner(
+        self, host: str, shards: list[Shard], *, is_repeat: bool
+    ) -> None:
         now = trio.current_time()
-        part = Part(
+        sub_query = SubQuery(
             host=host,
             sent_at=now,
             is_repeat=is_repeat,
             open_shards={shard.name: shard for shard in shards},
         )
-        self._parts.append(part)
+        self._sub_queries.append(sub_query)
         if host == self._fleet.own_name:
-            self._submit(part, shards)
+            self._submit_locally(sub_query, shards)
             return
         channel = self._dialer.get_open(host)
         if channel is not None:
-            self._ask(part, channel)
+            self._send_over(sub_query, channel)
         else:
-            part.check_at = self._share_time(now, PING_SHARE)
+            sub_query.check_at = self._time_at_share(now, PING_SHARE)
             self._progress.set()
-            self._nursery.start_soon(self._dial_and_ask, part)
+            self._nursery.start_soon(self._dial_and_send, sub_query)
 
-    def _submit(self, part: Part, shards: list[Shard]) -> None:
+    def _submit_locally(self, sub_query: SubQuery, shards: list[Shard]) -> None:
         query = self._query
         greatest = query.greatest
         wanted = []
@@ -346,52 +345,54 @@
                 idempotent=True,
                 forward=greatest.request if greatest else None,
                 max_attempts=self._count_attempts_left(shard.name) if greatest else 0,
-                is_repeat=part.is_repeat,
+                is_repeat=sub_query.is_repeat,
                 wanted_by=greatest.goal if greatest else 0.0,
                 priority=greatest.priority if greatest else 0,
                 kind=query.service.name if greatest else "",
                 ends_with_server=greatest is not None,
                 data_centres=greatest.data_centres if greatest else None,
             )
-            part.calls.append(call)
+            sub_query.calls.append(call)
             wanted.append(
                 Wanted(
                     call=call,
-                    finish=lambda end, versions: self._finish(part, end, versions),
+                    finish=lambda end, versions: self._finish(sub_query, end, versions),
                 )
             )
         self._owner.submit(wanted)
 
-    def _finish(self, part: Part, end: FinishCall, versions: tuple[int, ...]) -> None:
+    def _finish(
+        self, sub_query: SubQuery, end: FinishCall, versions: tuple[int, ...]
+    ) -> None:
         answer = ShardAnswer(
             shard=end.call.shard,
             server=end.server,
             outcome=end.outcome,
             versions=versions,
         )
-        self._take(part, answer)
+        self._handle_answer(sub_query, answer)
 
-    async def _dial_and_ask(self, part: Part) -> None:
-        address = self._fleet.get_address(part.host)
+    async def _dial_and_send(self, sub_query: SubQuery) -> None:
+        address = self._fleet.get_address(sub_query.host)
         if address is None:
-            self._lose(part, Loss.REFUSED)
+            self._handle_loss(sub_query, Loss.REFUSED)
             return
-        channel = await self._dialer.dial(part.host, address)
-        if not part.open_shards:
+        channel = await self._dialer.dial(sub_query.host, address)
+        if not sub_query.open_shards:
             return
         if isinstance(channel, Loss):
-            self._lose(part, channel)
+            self._handle_loss(sub_query, channel)
         else:
-            self._ask(part, channel)
+            self._send_over(sub_query, channel)
 
-    def _ask(self, part: Part, channel: Channel) -> None:
+    def _send_over(self, sub_query: SubQuery, channel: Channel) -> None:
         query = self._query
         left = query.deadline - trio.current_time()
-        part.channel = channel
-        part.sent_at = trio.current_time()
-        part.check_at = self._share_time(part.sent_at, PING_SHARE)
+        sub_query.channel = channel
+        sub_query.sent_at = trio.current_time()
+        sub_query.check_at = self._time_at_share(sub_query.sent_at, PING_SHARE)
         self._progress.set()
-        part.request_id = channel.request(
+        sub_query.request_id = channel.request(
             Search(
                 request_id=query.request_id,
                 service=query.service.name,
@@ -400,17 +401,17 @@
                 body=query.body,
                 shards=tuple(
                     ShardRef(shard=s.name, group=s.group)
-                    for s in part.open_shards.values()
+                    for s in sub_query.open_shards.values()
                 ),
-                greatest=self._make_greatest(part),
+                greatest=self._make_greatest(sub_query),
             ),
             Exchange(
-                reply=lambda message: self._take_message(part, message),
-                lose=lambda loss: self._lose(part, loss),
+                reply=lambda message: self._handle_message(sub_query, message),
+                lose=lambda loss: self._handle_loss(sub_query, loss),
             ),
         )
 
-    def _make_greatest(self, part: Part) -> Greatest | None:
+    def _make_greatest(self, sub_query: SubQuery) -> Greatest | None:
         greatest = self._query.greatest
         if greatest is None:
             return None
@@ -419,115 +420,116 @@
             request=greatest.request,
             n_wanted=greatest.n_wanted,
             goal_ms=max(0, int(left * 1_000)),
-            max_attempts=min(map(self._count_attempts_left, part.open_shards)),
+            max_attempts=min(map(self._count_attempts_left, sub_query.open_shards)),
             priority=greatest.priority,
-            is_repeat=part.is_repeat,
+            is_repeat=sub_query.is_repeat,
             data_centres=tuple(sorted(greatest.data_centres or ())),
         )
 
-    def _take_message(self, part: Part, message: Message) -> None:
+    def _handle_message(self, sub_query: SubQuery, message: Message) -> None:
         match message:
             case Answers(answers=answers, records=records):
-                if any(answer.shard not in part.open_shards for answer in answers):
-                    # The records of a batch cannot be told apart by shard: with one
-                    # that was given up or passed on, the whole batch is of no use.
-                    self._lose_batch(part, answers)
+                if any(answer.shard not in sub_query.open_shards for answer in answers):
+                    # The records of a batch are not labelled by shard. If one shard was
+                    # given up or sent elsewhere, the whole batch has to be discarded.
+                    self._discard_batch(sub_query, answers)
                     return
                 if records:
                     self._records.append(records)
                 for answer in answers:
-                    self._take(part, answer)
+                    self._handle_answer(sub_query, answer)
             case _:
                 metrics.dropped_answers.labels("unexpected reply of a peer").inc()
 
-    def _take(self, part: Part, answer: ShardAnswer) -> None:
-        shard = part.open_shards.pop(answer.shard, None)
+    def _handle_answer(self, sub_query: SubQuery, answer: ShardAnswer) -> None:
+        shard = sub_query.open_shards.pop(answer.shard, None)
         if shard is None:
             metrics.dropped_answers.labels("answer for a shard not asked for").inc()
             return
-        if not part.open_shards and part.channel is not None:
-            part.channel.forget(part.request_id)
+        if not sub_query.open_shards and sub_query.channel is not None:
+            sub_query.channel.forget(sub_query.request_id)
         now = trio.current_time()
         if self._pinning is not None:
             self._pinning.observe(shard=shard.name, versions=answer.versions, now=now)
         match answer.outcome:
             case NotRun(reason=Reason.STOPPING | Reason.UNKNOWN_SERVICE):
-                # Its owner stops, or has just started and knows no groups yet: it has
-                # sent nothing, and the host ranked next can do all of it. Told to the
-                # caller instead, each start of a host cost it the searches of a tenth
-                # of a second.
+                # The owner is stopping, or has just started and has no settings yet.
+                # It has sent nothing, so the next host can do all of it; returning
+                # the refusal would fail searches whenever a host starts.
                 self._send([shard])
                 return
             case NotRun(reason=Reason.VERSION_GONE) if self._pinning is not None:
-                self._lose_version(self._pinning, shard, answer, now)
+                self._handle_version_gone(self._pinning, shard, answer, now)
                 return
             case NotRun() as refusal:
                 self._refusals.append(refusal)
             case Unknown(reason=Reason.SERVER_ENDED) if self._query.greatest:
                 self._may_have_run = True
-                self._n_uncertain[shard.name] += 1
+                self._n_possible_attempts[shard.name] += 1
                 self.ended_servers.append(answer.server)
-                self._parked.append(Parked(shard=shard, host=part.host))
+                self._deferred.append(DeferredShard(shard=shard, host=sub_query.host))
                 self._progress.set()
                 return
             case Unknown():
                 self._may_have_run = True
             case Answered(body=body, headers=headers):
-                self._times.append(now - self._began)
+                self._response_times.append(now - self._run_started)
                 self._proofs[shard.name] = headers
                 if body and self._query.greatest is not None:
                     self._records.append(body)
         self._join.add(answer.shard, answer.outcome, answer.server, now=now)
         self._progress.set()
 
-    def _check_parked(self) -> None:
-        """Ask for what is parked once a server has answered, or give it up.
+    def _check_deferred(self) -> None:
+        """Send the deferred shards once a server has answered, or give them up.
 
-        A request that ends each server that runs it would else take a group's second
-        server within milliseconds of the first, and leave no caller any. What one
-        server answers does not end servers, and is asked for elsewhere.
+        Retried at once, a request that crashes every server that runs it would take
+        down all servers of a group. Once a server has answered the request, it is
+        safe to send elsewhere.
         """
-        while self._parked:
+        while self._deferred:
             if self._proofs:
-                parked, self._parked = self._parked, []
-                self._unpark(parked)
-            elif any(part.open_shards for part in self._parts):
+                deferred, self._deferred = self._deferred, []
+                self._send_deferred(deferred)
+            elif any(sub_query.open_shards for sub_query in self._sub_queries):
                 return
             elif self.ended_servers:
-                parked, self._parked = self._parked, []
-                for each in parked:
-                    self._miss_ended(each.shard)
+                deferred, self._deferred = self._deferred, []
+                for each in deferred:
+                    self._add_server_ended(each.shard)
             else:
-                # Nobody has run it yet, as the first one's servers are busy or gone.
-                self._unpark([self._parked.pop(0)])
+                # No server has run it yet: the first shard's were busy or unreachable.
+                self._send_deferred([self._deferred.pop(0)])
 
-    def _unpark(self, parked: list[Parked]) -> None:
+    def _send_deferred(self, deferred: list[DeferredShard]) -> None:
         by_host: dict[str, list[Shard]] = {}
         unasked = []
-        for each in parked:
+        for each in deferred:
             if each.host is None:
                 unasked.append(each.shard)
             elif self._count_attempts_left(each.shard.name) > 0:
                 by_host.setdefault(each.host, []).append(each.shard)
             else:
-                self._miss_ended(each.shard)
+                self._add_server_ended(each.shard)
         if unasked:
             self._send(unasked)
-        # The same owner again: it knows which server has ended, and is the near one.
+        # Back to the same owner, which has recorded the crashed server.
         for host, shards in by_host.items():
-            self._send_part(host, shards, is_repeat=True)
+            self._send_to_owner(host, shards, is_repeat=True)
 
-    def _lose_batch(self, part: Part, answers: tuple[ShardAnswer, ...]) -> None:
+    def _discard_batch(
+        self, sub_query: SubQuery, answers: tuple[ShardAnswer, ...]
+    ) -> None:
         metrics.dropped_answers.labels("answer for a shard not asked for").inc()
         for answer in answers:
-            shard = part.open_shards.pop(answer.shard, None)
+            shard = sub_query.open_shards.pop(answer.shard, None)
             if shard is not None:
-                self._miss(shard, Reason.STRAGGLER, part.host)
+                self._add_missing(shard, Reason.STRAGGLER, sub_query.host)
 
-    def _lose_version(
+    def _handle_version_gone(
         self, pinning: Pinning, shard: Shard, answer: ShardAnswer, now: float
     ) -> None:
-        """Start over at another snapshot, or do without the shard if there is none."""
+        """Have the query restart at another snapshot; without one, miss the shard."""
         version = self._snapshot.version
         pinning.mark_gone(shard=shard.name, version=version, now=now)
         outcome = answer.outcome
@@ -538,96 +540,100 @@
         self._join.add(shard.name, outcome, answer.server, now=now)
         self._progress.set()
 
-    def _lose(self, part: Part, loss: Loss) -> None:
-        """Send what a lost owner had not answered to the hosts ranked next."""
-        if not part.open_shards:
+    def _handle_loss(self, sub_query: SubQuery, loss: Loss) -> None:
+        """Send shards that a lost owner has not answered to the hosts ranked next."""
+        if not sub_query.open_shards:
             return
-        shards = list(part.open_shards.values())
-        part.open_shards.clear()
-        self._cancel(part, tuple(shard.name for shard in shards))
+        shards = list(sub_query.open_shards.values())
+        sub_query.open_shards.clear()
+        self._send_cancel(sub_query, tuple(shard.name for shard in shards))
         now = trio.current_time()
-        self._fleet.shun(part.host, now=now)
+        self._fleet.shun(sub_query.host, now=now)
         log_decision(
             logger,
             "owner lost",
             request_id=self._query.request_id,
-            host=part.host,
+            host=sub_query.host,
             loss=loss.value,
             n_shards=len(shards),
         )
-        # Nothing has been sent to an owner to which no channel was open yet.
-        is_uncertain = loss is not Loss.REFUSED and part.channel is not None
+        # Without an open channel, nothing had been sent to the owner.
+        is_uncertain = loss is not Loss.REFUSED and sub_query.channel is not None
         if is_uncertain:
             self._may_have_run = True
-            n_sent = self._count_sent(part, now)
-            self._n_uncertain.update({shard.name: n_sent for shard in shards})
+            n_sent = self._count_sent(sub_query, now)
+            self._n_possible_attempts.update({shard.name: n_sent for shard in shards})
         if now < self._query.deadline:
-            self._send_again(shards, part.host, is_repeat=is_uncertain)
+            self._send_again(shards, sub_query.host, is_repeat=is_uncertain)
 
     def _send_again(self, shards: list[Shard], host: str, *, is_repeat: bool) -> None:
-        """Send to other owners what a lost one may have sent to servers already.
+        """Send to other owners the shards that a lost owner had not answered.
 
-        The route bounds the servers that may get a request. What owners that were lost
-        with it may have sent has taken some of them: without that a request for two
-        servers reached three and four, when owners were busy and not dead. Where none
-        is left the shard is missed at once, and the caller may ask again.
+        Attempts that a lost owner may have made count against the route's limit:
+        the owner may be busy rather than dead, and the request would reach more
+        servers than the route allows. A shard with no attempts left is reported
+        missing at once.
         """
         repeated = []
         for shard in shards:
             if self._count_attempts_left(shard.name) > 0:
                 repeated.append(shard)
             else:
-                self._miss(shard, Reason.LOST_CONNECTION, host)
+                self._add_missing(shard, Reason.LOST_CONNECTION, host)
         if repeated:
             self._send(repeated, is_repeat=is_repeat)
 
-    def _count_sent(self, part: Part, now: float) -> int:
-        """Return to how many servers a lost owner may have sent each of its calls.
+    def _count_sent(self, sub_query: SubQuery, now: float) -> int:
+        """Return how many servers a lost owner may have sent each of its calls to.
 
-        To one as long as it was too early to hedge, and else to all that it might.
+        One, if it was too early for a hedge; otherwise as many as the route allows.
         """
         greatest = self._query.greatest
-        if greatest is None or now < self._share_time(part.sent_at, HEDGE_GOAL_SHARE):
+        if greatest is None or now < self._time_at_share(
+            sub_query.sent_at, HEDGE_GOAL_SHARE
+        ):
             return 1
         return greatest.max_attempts
 
     def _count_attempts_left(self, shard: str) -> int:
-        """Return to how many servers one more owner may send the call of a shard."""
+        """Return how many servers the next owner may send the call of a shard to."""
         greatest = self._query.greatest
         if greatest is None:
-            return 1  # The product's own queries bound attempts at each owner.
-        return greatest.max_attempts - self._n_uncertain[shard]
+            return 1  # A search has no such limit: each owner limits its attempts.
+        return greatest.max_attempts - self._n_possible_attempts[shard]
 
-    def _miss(
+    def _add_missing(
         self, shard: Shard, reason: Reason, peer: str, *, step: Step = Step.ROUTE
     ) -> None:
         outcome: Outcome = Unknown(step=step, peer=peer, reason=reason)
         self._join.add(shard.name, outcome, "", now=trio.current_time())
         self._progress.set()
 
-    def _miss_ended(self, shard: Shard) -> None:
+    def _add_server_ended(self, shard: Shard) -> None:
         server = self.ended_servers[0]
-        self._miss(shard, Reason.SERVER_ENDED, server, step=Step.RECEIVE)
+        self._add_missing(shard, Reason.SERVER_ENDED, server, step=Step.RECEIVE)
 
-    def _withdraw(self) -> None:
-        """Cancel whatever is still open: nobody waits for it any more."""
-        for part in self._parts:
-            if not part.open_shards:
+    def _cancel_open(self) -> None:
+        """Cancel all open calls, as nobody waits for them any more."""
+        for sub_query in self._sub_queries:
+            if not sub_query.open_shards:
                 continue
             self._may_have_run = True
-            names = tuple(part.open_shards)
-            part.open_shards.clear()
-            if part.channel is None:
-                open_calls = [call for call in part.calls if call.shard in names]
+            names = tuple(sub_query.open_shards)
+            sub_query.open_shards.clear()
+            if sub_query.channel is None:
+                open_calls = [call for call in sub_query.calls if call.shard in names]
                 self._owner.cancel(open_calls)
             else:
-                self._cancel(part, names)
-
-    def _cancel(self, part: Part, names: tuple[str, ...]) -> None:
-        """Tell an owner that these shards are no longer wanted of it."""
-        if part.channel is not None:
-            part.channel.forget(part.request_id)
-            part.channel.send(Frame(id=part.request_id, message=Cancel(shards=names)))
+                self._send_cancel(sub_query, names)
+
+    def _send_cancel(self, sub_query: SubQuery, names: tuple[str, ...]) -> None:
+        """Cancel these shards' calls at an owner."""
+        if sub_query.channel is not None:
+            sub_query.channel.forget(sub_query.request_id)
+            sub_query.channel.send(
+                Frame(id=sub_query.request_id, message=Cancel(shards=names))
+            )
 
     def _conclude(self) -> SearchResult | Refusal:
         results = self._join.results()
@@ -652,20 +658,20 @@
         coverage = self._join.coverage()
         policy = self._query.service.stragglers
         assert isinstance(policy, AnswerByGoal)
-        # Records stand for exactly the shards whose proofs are named; were the two
-        # counts ever to differ, the answer would claim what it does not hold.
+        # The records must come from exactly the shards whose proofs are attached;
+        # otherwise the answer would claim shards that it does not cover.
         is_consistent = coverage.n_answered == len(self._proofs)
         is_enough = coverage.share + ROUNDING >= policy.min_share
         if self._proofs and is_consistent and is_enough:
             return JoinedRecords(
                 records=merge_greatest(self._records, n_wanted=greatest.n_wanted),
-                # Answers go on coming until the rest is withdrawn.
+                # A copy, as answers arrive until the open calls are cancelled.
                 proofs=self._proofs.copy(),
                 coverage=coverage,
                 cut_at=self._cut_at,
             )
-        # What is still open is withdrawn after the answer, and runs until then.
-        is_open = any(part.open_shards for part in self._parts)
+        # Open calls are cancelled only after the answer, and may run until then.
+        is_open = any(sub_query.open_shards for sub_query in self._sub_queries)
         may_have_run = self._may_have_run or is_open
         if self._refusals and not may_have_run and not self._proofs:
             return max(self._refusals, key=lambda refusal: refusal.retry_after_ms)
--- a/tests/test_greatest.py
+++ b/tests/test_greatest.py
@@ -8,7 +8,7 @@
 import trio
 
 from lavendergap.coordination.calls import Call
-from lavendergap.entry.search import GreatestWanted, Query, SearchRun
+from lavendergap.entry.search import GreatestQuery, Query, SearchRun
 from lavendergap.protocol.forwarding import JoinedRecords
 from lavendergap.state.forwarding import ForwardedRequest
 from lavendergap.state.outcome import Unknown
@@ -49,7 +49,7 @@
             body=b"",
             started=now,
             deadline=now + DEADLINE,
-            greatest=GreatestWanted(
+            greatest=GreatestQuery(
                 request=ForwardedRequest(
                     method=b"GET", target=b"/", attempt=b"r", headers=()
                 ),
