--- a/src/lavendergap/entry/alarms.py
+++ b/src/lavendergap/entry/alarms.py
@@ -1,4 +1,4 @@
-"""One clock for all groups of a host: wakes each when something is due there."""
+"""The timer queue that all groups of a host share."""
 
 import heapq
 import itertools
@@ -7,13 +7,13 @@
 import trio
 
 NEVER = float("inf")
-# In the first turn the loop finds out which sockets have input, in the second their
-# readers run; what they read has been acted on when the third one begins.
-TURNS_TO_READ = 2
+# In the first turn the loop finds the sockets with input, in the second their readers
+# run, so that input is processed before the timers.
+N_TURNS_TO_READ = 2
 
 
-class Alarm:
-    """One group's place on the clock; `wake` is called at the time that was set."""
+class Timer:
+    """One group's timer; `wake` is called at the time that was set."""
 
     __slots__ = ("wake", "at")
 
@@ -22,41 +22,40 @@
         self.at = NEVER
 
 
-class AlarmClock:
-    """Calls each alarm's `wake` once it is due.
+class TimerQueue:
+    """Calls each timer's `wake` once it is due.
 
-    A query sets the same time in each of its groups. With a task and a timeout for
-    each group this took an eighth of the processor time of a call to a backend
-    server; with one for all, the groups that are due together share a turn.
+    A query sets the same time in each of its groups. One queue and task for all of
+    them costs far less processor time than a task and a timeout for each.
     """
 
     def __init__(self) -> None:
-        self._due: list[tuple[float, int, Alarm]] = []
+        self._due: list[tuple[float, int, Timer]] = []
         self._numbers = itertools.count()
         self._scope = trio.CancelScope()
 
-    def set(self, alarm: Alarm, at: float | None) -> None:
-        """Have an alarm wake at `at`, unless it is to wake earlier already."""
-        if at is None or at >= alarm.at:
+    def set(self, timer: Timer, at: float | None) -> None:
+        """Set a timer to `at`, in seconds, unless it is set to an earlier time."""
+        if at is None or at >= timer.at:
             return
-        alarm.at = at
-        heapq.heappush(self._due, (at, next(self._numbers), alarm))
+        timer.at = at
+        heapq.heappush(self._due, (at, next(self._numbers), timer))
         if at < self._scope.deadline:
             self._scope.deadline = at
 
-    def clear(self, alarm: Alarm) -> None:
-        """Have an alarm not wake any more; what is on the clock is passed over."""
-        alarm.at = NEVER
+    def clear(self, timer: Timer) -> None:
+        """Cancel a timer; its entries in the queue are skipped."""
+        timer.at = NEVER
 
     async def run(self) -> None:
-        """Keep time until cancelled.
+        """Wake timers as they become due, until cancelled.
 
-        What has arrived is read first. On a host whose turn took longer than a call
-        does, answers and cancellations lie in the sockets when the time to hedge is
-        up: hedged then, up to 52 of 90 calls went to a second server for nothing.
+        Sockets are read before timers are woken. After a long turn of the loop on a
+        busy host, answers and cancellations may lie unread when hedges are due, and
+        calls that have been answered already would be hedged.
         """
         while True:
-            for _ in range(TURNS_TO_READ):
+            for _ in range(N_TURNS_TO_READ):
                 await trio.lowlevel.checkpoint()
             self._wake_due()
             with trio.CancelScope(deadline=self._find_next()) as self._scope:
@@ -65,10 +64,10 @@
     def _wake_due(self) -> None:
         now = trio.current_time()
         while self._due and self._due[0][0] <= now:
-            at, _, alarm = heapq.heappop(self._due)
-            if alarm.at == at:
-                alarm.at = NEVER
-                alarm.wake()
+            at, _, timer = heapq.heappop(self._due)
+            if timer.at == at:
+                timer.at = NEVER
+                timer.wake()
 
     def _find_next(self) -> float:
         while self._due and self._due[0][2].at != self._due[0][0]:
--- a/src/lavendergap/entry/batch.py
+++ b/src/lavendergap/entry/batch.py
@@ -1,4 +1,4 @@
-"""Calls that somebody wants made, and what those of one query tell of each other."""
+"""Calls submitted to an owner, and when those of one query may be hedged."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 from ..coordination.hedging import LATEST_HEDGE_SHARE
 from ..state.outcome import Answered
 
-# Told how a call ended, and which index versions the server said it has.
+# Called with the end of a call and the index versions that its server reported.
 Finish = Callable[[FinishCall, tuple[int, ...]], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Wanted:
-    """A call that somebody wants made, and who is told how it ended."""
+    """A call to be made; `finish` is called when it has ended."""
 
     call: Call
     finish: Finish
@@ -23,31 +23,30 @@
 
 @dataclass(kw_only=True, slots=True)
 class Batch:
-    """The calls of one query that came to this owner together.
+    """The calls of one query that were submitted to this owner together.
 
-    The only call of a search here is not hedged before `alone_until`, a time on the
+    If there is only one, it is not hedged before `single_hedge_at`, a time on the
     loop's clock.
     """
 
     n_calls: int
-    alone_until: float
+    single_hedge_at: float
     n_answered: int = 0
 
     def may_hedge(self) -> bool:
-        """Tell whether a call that is slow may go to a second server.
+        """Return whether a slow call may be hedged.
 
-        A request that ends servers looks slow until its first server has ended. Hedged
-        meanwhile, each of its calls took the group's second server, and no caller had
-        any left. Where another call of the query was answered it ends no servers, and
-        of nearly all queries one was by the time at which hedges are due. For a call
-        without others, time has to tell: servers end within milliseconds.
+        A request that crashes servers looks slow at first; hedged, it would crash the
+        group's second server, too. Once another call of the query has been answered,
+        the request is safe. A single call waits instead, as a server that crashes
+        does so within milliseconds.
         """
         if self.n_answered > 0:
             return True
-        return self.n_calls == 1 and trio.current_time() >= self.alone_until
+        return self.n_calls == 1 and trio.current_time() >= self.single_hedge_at
 
-    def follow(self, wanted: Wanted) -> Wanted:
-        """Return the same, counted here when it is answered."""
+    def track(self, wanted: Wanted) -> Wanted:
+        """Return the call with a `finish` that also counts its answer here."""
 
         def finish(end: FinishCall, versions: tuple[int, ...]) -> None:
             self.n_answered += isinstance(end.outcome, Answered)
@@ -57,10 +56,10 @@
 
 
 def make_batch(calls: list[Call]) -> Batch:
-    """Return the batch of calls that are submitted now, of one query."""
+    """Return the batch of one query's calls, which are submitted now."""
     [first, *_] = calls
     now = trio.current_time()
-    alone_until = now
+    single_hedge_at = now
     if first.ends_with_server:
-        alone_until += LATEST_HEDGE_SHARE * max(0.0, first.wanted_by - now)
-    return Batch(n_calls=len(calls), alone_until=alone_until)
+        single_hedge_at += LATEST_HEDGE_SHARE * max(0.0, first.wanted_by - now)
+    return Batch(n_calls=len(calls), single_hedge_at=single_hedge_at)
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -1,4 +1,4 @@
-"""Runs the effects of one group's scheduler: its connections and attempts."""
+"""Carries out what a group's scheduler decides: its attempts and connections."""
 
 import logging
 from collections.abc import Callable
@@ -28,21 +28,21 @@
 from ..state.settings import Group, Server, Service, Settings
 from ..transport.backend import BackendClient
 from ..transport.forward import ForwardClient
-from .alarms import Alarm, AlarmClock
+from .alarms import Timer, TimerQueue
 from .batch import Batch, Finish, Wanted
 
 logger = logging.getLogger("lavendergap.route")
 
 
 class Cancellable(Protocol):
-    """An attempt under way."""
+    """A running attempt."""
 
     def cancel(self) -> None:
-        """Give it up; it ends all the same, soon after."""
+        """Cancel the attempt, which ends with an outcome soon after."""
 
 
 class Client(Protocol):
-    """What a group needs of the connections to one of its backend servers."""
+    """The connections to one backend server, as a group uses them."""
 
     server: Server
 
@@ -50,16 +50,16 @@
         """Make one attempt at a call."""
 
     async def probe(self) -> ServerReport | None:
-        """Ask for the server's health."""
+        """Request the server's health; None if it does not answer."""
 
     async def close_idle(self, *, now: float) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
 
     async def close(self) -> None:
         """Close every idle connection."""
 
 
-# Returns the connections to a backend server; tests put a fake here.
+# Makes the connections to a backend server; tests replace it by a fake.
 MakeClient = Callable[[Server, float], Client]
 
 
@@ -83,12 +83,12 @@
         make_client: MakeClient,
         data_centre: str,
         kinds: KindLatencies,
-        clock: AlarmClock,
+        timers: TimerQueue,
         may_warm: Callable[[], bool],
     ) -> None:
         self.group = group
         self.service = service
-        self.used_at = trio.current_time()
+        self.last_used_at = trio.current_time()
         self.scheduler = GroupScheduler(
             group=group,
             service=service,
@@ -100,21 +100,21 @@
         )
         self._settings = settings
         self._nursery = nursery
-        self._prefix = attempt_prefix
+        self._attempt_prefix = attempt_prefix
         self._make_client = make_client
         self._clients: dict[str, Client] = {}
         self._finishes: dict[int, Finish] = {}
         self._running: dict[int, Cancellable] = {}
         self._versions: dict[str, tuple[int, ...]] = {}
-        self._clock = clock
-        self._alarm = Alarm(wake=self._advance)
-        self._life = trio.CancelScope()
-        self._count = {
+        self._timers = timers
+        self._timer = Timer(wake=self._advance)
+        self._scope = trio.CancelScope()
+        self._start_counters = {
             cause: metrics.attempts.labels(service.name, cause)
             for cause in ("first", "retry", "hedge")
         }
         self._add_clients(group)
-        nursery.start_soon(self._live)
+        nursery.start_soon(self._run)
 
     def _add_clients(self, group: Group) -> None:
         idle_limit = self._settings.control.idle_connection_ms / 1_000
@@ -127,12 +127,12 @@
             else:
                 self._clients[server.name] = self._make_client(server, idle_limit)
         for client in before.values():
-            # Its connections would stay open, and count at the server, to a process
-            # that has ended or takes no new work.
+            # Otherwise its connections would stay open to a process that has ended or
+            # takes no new work, and count against that server's limit.
             self._nursery.start_soon(client.close)
 
     def replace(self, *, group: Group, service: Service, settings: Settings) -> None:
-        """Act on new settings; calls that run are finished as they started."""
+        """Apply new settings; running calls finish under the old ones."""
         self.group = group
         self.service = service
         self._settings = settings
@@ -149,18 +149,18 @@
     def submit(self, wanted: Wanted, batch: Batch) -> list[StartAttempt]:
         """Submit a call; return the attempts that start at once, for the log."""
         now = trio.current_time()
-        self.used_at = now
-        self._finishes[wanted.call.call_id] = batch.follow(wanted).finish
+        self.last_used_at = now
+        self._finishes[wanted.call.call_id] = batch.track(wanted).finish
         effects = self.scheduler.submit(wanted.call, now=now, may_hedge=batch.may_hedge)
-        return self.apply(effects, is_logged=True)
+        return self.apply(effects, is_in_plan=True)
 
     def cancel(self, call_id: int) -> None:
-        """Cancel a call that nobody waits for any more."""
+        """Cancel a call whose result is no longer needed."""
         if call_id in self._finishes:
             self.apply(self.scheduler.cancel(call_id, now=trio.current_time()))
 
     def stop(self) -> None:
-        """Refuse what is queued; what runs goes on."""
+        """Refuse queued calls; running ones go on."""
         self.apply(self.scheduler.stop(now=trio.current_time()))
 
     @property
@@ -169,21 +169,24 @@
         return bool(self._finishes) or bool(self._running)
 
     def close(self) -> None:
-        """End the group's tasks; used once it is no longer busy."""
-        self._life.cancel()
+        """End the group's tasks; call it only while the group is not busy."""
+        self._scope.cancel()
 
     def apply(
-        self, effects: list[Effect], *, is_logged: bool = False
+        self, effects: list[Effect], *, is_in_plan: bool = False
     ) -> list[StartAttempt]:
-        """Carry out effects in their order; return the attempts started."""
+        """Carry out effects in order; return the attempts started.
+
+        First attempts are not logged if the "plan" event lists them (`is_in_plan`).
+        """
         starts = []
         for effect in effects:
             match effect:
                 case StartAttempt():
                     starts.append(effect)
-                    self._count[effect.cause].inc()
+                    self._start_counters[effect.cause].inc()
                     self._launch(effect)
-                    if not is_logged or effect.cause != "first":
+                    if not is_in_plan or effect.cause != "first":
                         self._log_start(effect)
                 case CancelAttempt(attempt_id=attempt_id):
                     running = self._running.get(attempt_id)
@@ -199,7 +202,7 @@
                         shard=effect.call.shard,
                         why=effect.why,
                     )
-        self._clock.set(self._alarm, self.scheduler.next_wake())
+        self._timers.set(self._timer, self.scheduler.next_wake())
         return starts
 
     def _log_start(self, effect: StartAttempt) -> None:
@@ -232,10 +235,10 @@
     def _launch(self, effect: StartAttempt) -> None:
         """Start an attempt.
 
-        Before anything of it runs, other settings may take its server away, and its
-        call may end. So it is given the connections here, and can be cancelled from
-        here on: looked up later, the one would be missing and end the whole process,
-        and the other would let a server work for nobody.
+        New settings may remove its server, and its call may be cancelled, before its
+        task first runs. So the connections are looked up here, as a later look-up
+        would fail and end the process, and the attempt can be cancelled from here on,
+        as it would otherwise still use a server.
         """
         started = trio.current_time()
         match self._clients[effect.server]:
@@ -254,8 +257,10 @@
         self, effect: StartAttempt, client: Client, scope: trio.CancelScope
     ) -> None:
         started = trio.current_time()
-        attempt = f"{self._prefix}-{self.group.name}-{effect.attempt_id}".encode()
-        verdict = Verdict(outcome=_judge_cancelled(effect.server), report=None)
+        attempt = (
+            f"{self._attempt_prefix}-{self.group.name}-{effect.attempt_id}".encode()
+        )
+        verdict = Verdict(outcome=_make_cancelled(effect.server), report=None)
         with scope:
             verdict = await self._call(client, effect, attempt)
         self._end_attempt(effect, started, verdict)
@@ -265,8 +270,8 @@
     ) -> None:
         del self._running[effect.attempt_id]
         now = trio.current_time()
-        self._count_end(verdict.outcome)
-        self._tell_server_end(effect, verdict.outcome, now - started)
+        self._count_failure(verdict.outcome)
+        self._log_server_end(effect, verdict.outcome, now - started)
         if verdict.report is not None:
             self._versions[effect.server] = verdict.report.versions
         self.apply(
@@ -284,10 +289,9 @@
     async def _call(
         self, client: Client, effect: StartAttempt, attempt: bytes
     ) -> Verdict:
-        """Make the call; an error of this program costs the attempt and no more.
+        """Make the call; an unexpected exception fails this attempt only.
 
-        Raised further it would end the process, and with it every request of every
-        caller that the host serves.
+        Propagated, it would end the process and every request on this host.
         """
         try:
             return await client.call(
@@ -300,17 +304,17 @@
             )
             return Verdict(outcome=outcome, report=None)
 
-    def _count_end(self, outcome: Outcome) -> None:
+    def _count_failure(self, outcome: Outcome) -> None:
         match outcome:
             case NotRun(reason=reason) | Unknown(reason=reason):
                 metrics.attempt_ends.labels(self.service.name, reason.value).inc()
                 if reason is Reason.WRONG_ANSWER:
                     metrics.dropped_answers.labels("wrong answer of a server").inc()
 
-    def _tell_server_end(
+    def _log_server_end(
         self, effect: StartAttempt, outcome: Outcome, elapsed: float
     ) -> None:
-        """Say under which request a server ended, and what it asked for."""
+        """Log which request a server crashed on, with its content id."""
         call = effect.call
         if call.forward is None or not is_server_end(outcome):
             return
@@ -325,11 +329,11 @@
             after_ms=round(elapsed * 1_000, 1),
         )
 
-    async def _live(self) -> None:
-        """Probe until closed; then close the idle connections."""
-        with self._life:
+    async def _run(self) -> None:
+        """Probe the servers until the group is closed; then close its connections."""
+        with self._scope:
             await self._keep_probing()
-        self._clock.clear(self._alarm)
+        self._timers.clear(self._timer)
         with trio.CancelScope(shield=True):
             for client in self._clients.values():
                 await client.close()
@@ -338,12 +342,12 @@
         self.apply(self.scheduler.advance(now=trio.current_time()))
 
     async def _keep_probing(self) -> None:
-        """Ask each server's health endpoint now and then, one after the other."""
+        """Probe each server's health periodically, one server after the other."""
         while True:
             for server in self.group.servers:
                 client = self._clients.get(server.name)
                 if client is None:
-                    continue  # An edit took it away while another was probed.
+                    continue  # New settings removed it while another server was probed.
                 report = await client.probe()
                 now = trio.current_time()
                 self.apply(self.scheduler.observe(server.name, report, now=now))
@@ -351,5 +355,5 @@
             await trio.sleep(self._settings.control.server_probe_interval_ms / 1_000)
 
 
-def _judge_cancelled(server: str) -> Outcome:
+def _make_cancelled(server: str) -> Outcome:
     return Unknown(step=Step.RECEIVE, peer=server, reason=Reason.CANCELLED)
--- a/src/lavendergap/entry/owner.py
+++ b/src/lavendergap/entry/owner.py
@@ -1,4 +1,4 @@
-"""What this host does as the owner of groups: runs their schedulers' effects."""
+"""This host as the owner of groups: runs their schedulers and server calls."""
 
 import itertools
 import logging
@@ -14,7 +14,7 @@
 from ..state.outcome import NotRun, Reason, Step
 from ..state.quarantine import Standing
 from ..state.settings import Group, Service, Settings
-from .alarms import AlarmClock
+from .alarms import TimerQueue
 from .batch import Wanted, make_batch
 from .grouprunner import GroupRunner, MakeClient, make_backend_client
 from .quarantine import QuarantineKeeper
@@ -23,12 +23,12 @@
 
 
 class Owner:
-    """Every group that this host owns, or stands in for while its owner is away.
+    """The groups that this host calls, as their owner or in place of a lost owner.
 
-    Runners are made when a group is first asked for, and go once the group has not
-    been asked for during `idle_connection_ms`, so that a group that moved to another
-    host leaves no connections behind. `may_warm` tells whether this host sends to the
-    cold servers of a group.
+    A group's runner is created by the first call to the group and closed after
+    `idle_connection_ms` without calls, so that no connections stay open to a group
+    that moved to another host. `may_warm` returns whether this host may send calls to
+    a group's cold servers.
     """
 
     def __init__(
@@ -46,14 +46,14 @@
         self._settings = settings
         self._nursery = nursery
         self._random = random
-        self._prefix = attempt_prefix
+        self._attempt_prefix = attempt_prefix
         self._make_client = make_client
         self._data_centre = data_centre
         self._quarantine = quarantine
         self._may_warm = may_warm
         self._kinds = KindLatencies()
-        self._clock = AlarmClock()
-        nursery.start_soon(self._clock.run)
+        self._timers = TimerQueue()
+        nursery.start_soon(self._timers.run)
         self._services = {service.name: service for service in settings.services}
         self._runners: dict[str, GroupRunner] = {}
         self._retired: list[GroupRunner] = []
@@ -61,23 +61,25 @@
         self._is_stopping = False
 
     def make_call_id(self) -> int:
-        """Return an id that no other call of this process has."""
+        """Return a call id that is unique in this process."""
         return next(self._call_ids)
 
     def replace(self, settings: Settings) -> None:
-        """Put new settings in force for every group that runs here."""
+        """Apply new settings to all groups."""
         self._settings = settings
         self._services = {service.name: service for service in settings.services}
         for name, runner in list(self._runners.items()):
-            found = self._find(runner.service.name, name)
+            found = self._find_group(runner.service.name, name)
             if found is None:
-                # Kept here it would refuse all calls, should the group come back.
+                # A stopped runner would refuse all calls if the group were added again.
                 runner.stop()
                 self._retired.append(self._runners.pop(name))
             elif found != (runner.service, runner.group):
                 runner.replace(group=found[1], service=found[0], settings=settings)
 
-    def _find(self, service_name: str, group_name: str) -> tuple[Service, Group] | None:
+    def _find_group(
+        self, service_name: str, group_name: str
+    ) -> tuple[Service, Group] | None:
         service = self._services.get(service_name)
         if service is None:
             return None
@@ -90,7 +92,7 @@
         runner = self._runners.get(call.group)
         if runner is not None:
             return runner
-        found = self._find(call.service, call.group)
+        found = self._find_group(call.service, call.group)
         if found is None:
             return None
         runner = GroupRunner(
@@ -99,39 +101,39 @@
             settings=self._settings,
             nursery=self._nursery,
             random=self._random,
-            attempt_prefix=self._prefix,
+            attempt_prefix=self._attempt_prefix,
             make_client=self._make_client,
             data_centre=self._data_centre,
             kinds=self._kinds,
-            clock=self._clock,
+            timers=self._timers,
             may_warm=partial(self._may_warm, call.group),
         )
         self._runners[call.group] = runner
         return runner
 
     def submit(self, wanted: list[Wanted]) -> None:
-        """Submit the calls of one query, and log where they were placed."""
+        """Submit the calls of one query; log which servers they were sent to."""
         placed = []
         if self._is_held_back(wanted[0].call):
-            for one in wanted:
-                self._refuse(one, Reason.HELD_BACK)
+            for each in wanted:
+                self._refuse(each, Reason.HELD_BACK)
             return
-        batch = make_batch([one.call for one in wanted])
-        for one in wanted:
+        batch = make_batch([each.call for each in wanted])
+        for each in wanted:
             if self._is_stopping:
-                self._refuse(one, Reason.STOPPING)
+                self._refuse(each, Reason.STOPPING)
                 continue
-            runner = self._get_runner(one.call)
+            runner = self._get_runner(each.call)
             if runner is None:
-                self._refuse(one, Reason.UNKNOWN_SERVICE)
+                self._refuse(each, Reason.UNKNOWN_SERVICE)
                 continue
-            placed += runner.submit(one, batch)
+            placed += runner.submit(each, batch)
         self._log_plan(wanted, placed)
 
     def _is_held_back(self, call: Call) -> bool:
-        """Tell whether a call is to be kept from servers.
+        """Return whether a call's content is held back from servers.
 
-        Its coordinator may not have heard yet; the servers here are spared anyway.
+        Checked here, too, as its coordinator may not have received the strikes yet.
         """
         if self._quarantine is None or call.forward is None:
             return False
@@ -160,26 +162,26 @@
         )
 
     def cancel(self, calls: list[Call]) -> None:
-        """Cancel calls that nobody waits for any more."""
+        """Cancel calls whose results are no longer needed."""
         for call in calls:
             runner = self._runners.get(call.group)
             if runner is not None:
                 runner.cancel(call.call_id)
 
     def close_unused(self) -> None:
-        """End the runners of groups that nobody has asked for in a while."""
+        """Close the runners of groups without calls for `idle_connection_ms`."""
         limit = self._settings.control.idle_connection_ms / 1_000
         now = trio.current_time()
         for runner in [r for r in self._retired if not r.is_busy]:
             runner.close()
             self._retired.remove(runner)
         for name, runner in list(self._runners.items()):
-            if not runner.is_busy and now - runner.used_at > limit:
+            if not runner.is_busy and now - runner.last_used_at > limit:
                 runner.close()
                 del self._runners[name]
 
     def stop(self) -> None:
-        """Take nothing new; refuse what is queued; what runs goes on."""
+        """Refuse new and queued calls; running ones go on."""
         self._is_stopping = True
         for runner in self._runners.values():
             runner.stop()
