--- a/src/lavendergap/entry/bookings.py
+++ b/src/lavendergap/entry/bookings.py
@@ -1,8 +1,7 @@
-"""Requests that must run at most once: tickets issued, run, witnessed, asked after.
+"""Requests that must run at most once: issues, runs and looks up their tickets.
 
-The decisions are in coordination.issuer, witness and resolution; this module carries
-their messages between hosts and runs a request when, and only when, its issuer says
-so.
+The decisions are made in coordination.issuer, witness and resolution. This module
+exchanges their messages between hosts, and runs a request only if its issuer allows it.
 """
 
 import logging
@@ -71,34 +70,34 @@
 from ..transport.web import BadRequestError
 from .fleet import Fleet
 from .owner import Owner
-from .runs import WORDS_LIMIT, RunSender
-from .ticketclient import TicketClient, Unreached
+from .runs import REPLY_GRACE_S, RunSender
+from .ticketclient import NoReply, TicketClient
 
 logger = logging.getLogger("lavendergap.once")
 
-# Long enough for a channel to judge itself silent and for a second one.
-WITNESS_LIMIT = 1.5
-OPEN_LIMIT = 0.25
-ASK_LIMIT = 1.0
-# A caller whose deadline has passed waits this much longer for the witness's proof.
-PROOF_LIMIT = 0.25
-CONFIRM_INTERVAL = 2.0
-# Above what one lost witness may leave within a ticket's lifetime, so that its
-# outcomes do not keep those of the others from being sent.
-CONFIRM_BATCH = 10_000
-RECORD_SHARE = 0.5
+# Long enough for a channel to be found silent and for a try over a second one.
+WITNESS_LIMIT_S = 1.5
+OPEN_LIMIT_S = 0.25
+ASK_LIMIT_S = 1.0
+# After its deadline, a caller waits at most this much longer for the witness's reply.
+LATE_REPLY_LIMIT_S = 0.25
+CONFIRM_INTERVAL_S = 2.0
+# More than the outcomes that one lost witness may leave unconfirmed within a ticket's
+# lifetime, so that these do not keep other witnesses' outcomes from being sent.
+MAX_CONFIRM_BATCH = 10_000
+RECORD_DEADLINE_SHARE = 0.5
 N_WITNESSES_TRIED = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class Execution:
-    """A request that its issuer runs now; `done` is set with the reply."""
+    """A request that its issuer is running; `done` is set once it has ended."""
 
     done: trio.Event = field(default_factory=trio.Event)
 
 
 class Bookings:
-    """This host as issuer, as witness, and as whoever is asked about a ticket."""
+    """This host's tickets: as issuer, as witness, and for callers and peers."""
 
     def __init__(
         self,
@@ -131,7 +130,7 @@
         self._executions: dict[int, Execution] = {}
 
     def replace(self, settings: Settings) -> None:
-        """Put new settings in force."""
+        """Apply new settings."""
         self._settings = settings
         self._sender.replace(settings)
         for keeper in (self._issuer, self._witness):
@@ -140,13 +139,13 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request of a ticket issued here is being run."""
+        """Whether the request of a ticket issued here is running."""
         return bool(self._executions)
 
     # For callers.
 
     async def issue(self, request: CallerRequest) -> TicketText | Refusal:
-        """Issue a ticket whose witness stands in another data centre if one can."""
+        """Issue a ticket, with a witness in another data centre if possible."""
         witness = await self._open_witness()
         issued = self._issuer.issue(
             service=request.service.name, witness=witness, now=trio.current_time()
@@ -164,24 +163,24 @@
         return TicketText(text=str(issued))
 
     async def run(self, request: CallerRequest, text: str) -> RunAnswer:
-        """Run a ticket's request at its issuer, or tell what became of it."""
+        """Have a ticket's request run by its issuer; return its outcome."""
         ticket = parse_ticket(text, service=request.service.name)
         if isinstance(ticket, BadTicket):
-            return _reject(ticket.reason)
+            return _make_bad_ticket_error(ticket.reason)
         reply = await self._run_at_issuer(ticket, request.body, request.deadline)
         left = request.deadline - trio.current_time()
-        limit = min(ASK_LIMIT, max(PROOF_LIMIT, left))
-        return await self._conclude(request.request_id, ticket, reply, limit=limit)
+        limit = min(ASK_LIMIT_S, max(LATE_REPLY_LIMIT_S, left))
+        return await self._resolve(request.request_id, ticket, reply, limit=limit)
 
     async def look_up(self, request_id: str, text: str) -> RunAnswer:
-        """Tell what has become of a ticket; never runs anything."""
+        """Return the state or outcome of a ticket, without running it."""
         ticket = parse_ticket(text)
         if isinstance(ticket, BadTicket):
-            return _reject(ticket.reason)
+            return _make_bad_ticket_error(ticket.reason)
         reply = await self._ask_issuer(ticket)
-        return await self._conclude(request_id, ticket, reply, limit=ASK_LIMIT)
+        return await self._resolve(request_id, ticket, reply, limit=ASK_LIMIT_S)
 
-    async def _conclude(
+    async def _resolve(
         self, request_id: str, ticket: Ticket, reply: IssuerReply, *, limit: float
     ) -> RunAnswer:
         verdict = resolve_by_issuer(ticket, reply)
@@ -199,13 +198,13 @@
         )
         match verdict:
             case Rejected(reason=reason):
-                return _reject(reason)
+                return _make_bad_ticket_error(reason)
             case Pending(begun=begun):
                 return PendingAnswer(
                     request_id=request_id, state="running" if begun else "not begun"
                 )
             case Settled(outcome=outcome):
-                return _render(request_id, outcome)
+                return _make_answer(request_id, outcome)
 
     # As the issuer.
 
@@ -218,9 +217,11 @@
         ask = TicketAsk(
             verb=RUN, ticket=str(ticket), body=body, left_ms=int(left * 1_000)
         )
-        # The issuer answers by the deadline; the time after it is for its words.
-        limit = left + WORDS_LIMIT
-        return _take_issuer(await self._client.ask(ticket.issuer, ask, limit=limit))
+        # The issuer answers by the deadline; its reply may arrive a little later.
+        limit = left + REPLY_GRACE_S
+        return _expect_issuer_reply(
+            await self._client.ask(ticket.issuer, ask, limit=limit)
+        )
 
     async def _run_here(
         self, ticket: Ticket, body: bytes, deadline: float
@@ -234,8 +235,8 @@
             case RecordStarted() | Run():
                 execution = Execution()
                 self._executions[ticket.serial] = execution
-                # In a task of its own: the caller may leave midway, and what has
-                # begun must come to its end and be recorded all the same.
+                # In a task of its own: the caller may cancel, but a request that has
+                # started must run to its end and be recorded.
                 self._nursery.start_soon(
                     self._execute, begun, body, deadline, execution
                 )
@@ -244,12 +245,12 @@
                 await execution.done.wait()
         reply = self._issuer.ask(ticket, now=trio.current_time())
         if isinstance(reply, AlreadyRunning):
-            # By its deadline the caller gets an answer; the request runs on, and
-            # what becomes of it is told to whoever asks after the ticket.
-            doubt = Unknown(
+            # The caller gets an answer by its deadline. The request runs on, and its
+            # outcome can be looked up by the ticket.
+            unknown = Unknown(
                 step=Step.RECEIVE, peer=self._peer.host, reason=Reason.DEADLINE
             )
-            return Known(outcome=doubt)
+            return Known(outcome=unknown)
         return reply
 
     async def _execute(
@@ -263,18 +264,18 @@
         try:
             decided: Run | Known | AlreadyRunning = Run(ticket=ticket)
             if isinstance(begun, RecordStarted):
-                limit = (deadline - trio.current_time()) * RECORD_SHARE
-                said = await self._record_started(begun, limit=limit)
+                limit = (deadline - trio.current_time()) * RECORD_DEADLINE_SHARE
+                said = await self._send_started(begun, limit=limit)
                 decided = self._issuer.record(ticket, said)
             if isinstance(decided, Run):
                 outcome = await self._sender.send(ticket, body, deadline)
                 ended = self._issuer.end(ticket, outcome)
-                self._nursery.start_soon(self._record_ended, ended)
+                self._nursery.start_soon(self._send_ended, ended)
         finally:
             del self._executions[ticket.serial]
             execution.done.set()
 
-    async def _record_started(
+    async def _send_started(
         self, begun: RecordStarted, *, limit: float
     ) -> StartedReply:
         witness = begun.ticket.witness
@@ -286,41 +287,41 @@
             case _:
                 return WitnessLost()
 
-    async def _record_ended(self, ended: RecordEnded) -> bool:
-        """Give the witness an outcome; return whether it could be reached."""
+    async def _send_ended(self, ended: RecordEnded) -> bool:
+        """Send an outcome to its witness; return whether the witness replied."""
         witness = ended.ticket.witness
         if witness is None:
             return True
-        reply = await self._ask_witness(witness, ended, limit=WITNESS_LIMIT)
+        reply = await self._ask_witness(witness, ended, limit=WITNESS_LIMIT_S)
         match reply:
-            case Kept() | Forgotten() | Unreached.REPLACED:
-                # Where the records are gone for good, sending again is of no use.
+            case Kept() | Forgotten() | NoReply.REPLACED:
+                # Kept, or the witness's records are gone: it is not sent again.
                 self._issuer.confirm(ended.ticket)
-        return reply is not Unreached.LOST
+        return reply is not NoReply.LOST
 
     async def keep_confirming(self) -> None:
-        """Send outcomes again, now and then, until their witness has them."""
+        """Resend outcomes periodically until their witness confirms them."""
         while True:
-            await trio.sleep(CONFIRM_INTERVAL)
-            await self._tell_witnesses(
-                self._issuer.get_unconfirmed(limit=CONFIRM_BATCH)
+            await trio.sleep(CONFIRM_INTERVAL_S)
+            await self._send_to_witnesses(
+                self._issuer.get_unconfirmed(limit=MAX_CONFIRM_BATCH)
             )
 
     async def hand_over(self) -> None:
-        """Give the witnesses all that others may ask about; nothing starts after.
+        """Start no more requests, and send all outcomes to the witnesses.
 
-        What has begun is waited for: its outcome would else end with this process,
-        and a request that ran would be told as unknown because of a planned stop.
+        Waits for running requests: their outcomes would be lost with this process,
+        and a planned stop would have them reported as unknown.
         """
         self._issuer.hand_over()
         while self._executions:
             await next(iter(self._executions.values())).done.wait()
-        await self._tell_witnesses(self._issuer.hand_over())
+        await self._send_to_witnesses(self._issuer.hand_over())
 
-    async def _tell_witnesses(
+    async def _send_to_witnesses(
         self, messages: tuple[RecordEnded | CloseIssuer, ...]
     ) -> None:
-        # Side by side, so that one that does not answer costs the others no time.
+        # Concurrently, so that one that does not answer delays no other.
         by_witness: dict[Peer, list[RecordEnded | CloseIssuer]] = defaultdict(list)
         for message in messages:
             witness = _get_witness(message)
@@ -328,21 +329,21 @@
                 by_witness[witness].append(message)
         async with trio.open_nursery() as nursery:
             for each in by_witness.values():
-                nursery.start_soon(self._tell_witness, each)
+                nursery.start_soon(self._send_to_witness, each)
 
-    async def _tell_witness(self, messages: list[RecordEnded | CloseIssuer]) -> None:
+    async def _send_to_witness(self, messages: list[RecordEnded | CloseIssuer]) -> None:
         for message in messages:
             match message:
                 case RecordEnded():
-                    if not await self._record_ended(message):
+                    if not await self._send_ended(message):
                         return
                 case CloseIssuer(witness=witness):
-                    await self._ask_witness(witness, message, limit=WITNESS_LIMIT)
+                    await self._ask_witness(witness, message, limit=WITNESS_LIMIT_S)
 
-    # As the witness, and as whoever asks one.
+    # As the witness, and as a client of other witnesses.
 
     async def _open_witness(self) -> Peer | None:
-        """Return a witness that holds this issuer, in another data centre if any."""
+        """Open this issuer at a witness, if possible in another data centre."""
         own = self._settings.get_host(self._peer.host)
         centres = {host.name: host.data_centre for host in self._settings.hosts}
         own_centre = own.data_centre if own else ""
@@ -358,15 +359,15 @@
         return None
 
     async def _open_at(self, host: str) -> Peer | None:
-        channel = await self._client.reach_proved(host, limit=OPEN_LIMIT)
-        # One that is stopping would take its records along.
+        channel = await self._client.open_verified(host, limit=OPEN_LIMIT_S)
+        # The records of a stopping process would be lost.
         if channel is None or channel.peer is None or channel.is_leaving:
             return None
         witness = Peer(host=host, incarnation=channel.peer.incarnation)
         if self._issuer.is_open(witness):
             return witness
         opening = self._issuer.open(witness)
-        reply = await self._ask_witness(witness, opening, limit=OPEN_LIMIT)
+        reply = await self._ask_witness(witness, opening, limit=OPEN_LIMIT_S)
         if not isinstance(reply, Kept):
             return None
         self._issuer.confirm_open(witness)
@@ -385,7 +386,7 @@
 
     async def _ask_witness(
         self, witness: Peer, request: WitnessRequest, *, limit: float
-    ) -> Reply | Unreached:
+    ) -> Reply | NoReply:
         if witness == self._peer:
             return self._witness.answer(request, now=trio.current_time())
         return await self._client.ask(witness, encode_request(request), limit=limit)
@@ -394,12 +395,14 @@
         if ticket.issuer == self._peer:
             return self._issuer.ask(ticket, now=trio.current_time())
         ask = TicketAsk(verb=ASK, ticket=str(ticket))
-        return _take_issuer(await self._client.ask(ticket.issuer, ask, limit=ASK_LIMIT))
+        return _expect_issuer_reply(
+            await self._client.ask(ticket.issuer, ask, limit=ASK_LIMIT_S)
+        )
 
     # For peers.
 
     async def answer(self, ask: TicketAsk) -> TicketReply:
-        """Answer a peer's order or question about a ticket."""
+        """Answer a peer's message about a ticket."""
         return encode_reply(await self._answer(ask))
 
     async def _answer(self, ask: TicketAsk) -> Reply:
@@ -432,7 +435,7 @@
             return f"rejected: {problem.value}"
 
 
-def _render(request_id: str, outcome: Outcome) -> RunAnswer:
+def _make_answer(request_id: str, outcome: Outcome) -> RunAnswer:
     match outcome:
         case Answered(body=body):
             return RunResult(request_id=request_id, result=body)
@@ -448,7 +451,7 @@
             return witness
 
 
-def _take_issuer(reply: Reply | Unreached) -> IssuerReply:
+def _expect_issuer_reply(reply: Reply | NoReply) -> IssuerReply:
     match reply:
         case Known() | AlreadyRunning() | NotBegun() | Refused():
             return reply
@@ -456,7 +459,7 @@
             return IssuerLost()
 
 
-def _reject(problem: TicketProblem) -> BadRequestError:
+def _make_bad_ticket_error(problem: TicketProblem) -> BadRequestError:
     return BadRequestError(
         status=HTTPStatus.UNPROCESSABLE_ENTITY,
         problem="bad ticket",
--- a/src/lavendergap/entry/runs.py
+++ b/src/lavendergap/entry/runs.py
@@ -1,4 +1,4 @@
-"""Sends the request of a ticket to the owner of its group, which runs it once."""
+"""Sends a ticket's request to the owner of its group, which runs it at most once."""
 
 import trio
 
@@ -13,16 +13,16 @@
 from .owner import Owner
 from .ticketclient import TicketClient
 
-# Of the time left to the deadline, what reaching one owner may take; the rest is for
-# the run, or for the owners that come next.
-REACH_SHARE = 0.25
-REACH_LIMIT = 0.25
-# The owner answers by the deadline; the time after it is for its words.
-WORDS_LIMIT = 0.25
+# Opening a channel to one owner may take this share of the time left to the deadline;
+# the rest is for the run, or for the next owners.
+CONNECT_SHARE = 0.25
+CONNECT_LIMIT_S = 0.25
+# The owner answers by the deadline; its reply may arrive this much later.
+REPLY_GRACE_S = 0.25
 
 
 class RunSender:
-    """Sends requests that must run at most once. Each ticket is given to it once."""
+    """Sends requests that must run at most once; `send` is called once per ticket."""
 
     def __init__(
         self,
@@ -40,15 +40,15 @@
         self._client = client
 
     def replace(self, settings: Settings) -> None:
-        """Put new settings in force."""
+        """Apply new settings."""
         self._settings = settings
 
     async def send(self, ticket: Ticket, body: bytes, deadline: float) -> Outcome:
-        """Send the request to an owner of its group, once; `deadline` in seconds.
+        """Send the request to an owner of its group; `deadline` is in seconds.
 
-        The next owner gets it only after proof that the one before it has done
-        nothing: no byte of the request had left, or it says itself that it is
-        stopping. After anything else the request may have run.
+        It goes to the next owner only if the one before it provably did nothing: no
+        byte of the request was sent, or the owner replied that it is stopping. After
+        any other failure the request may have run.
         """
         service = self._settings.get_service(ticket.service)
         if service is None:
@@ -60,13 +60,13 @@
         outcome: Outcome = NotRun(
             step=Step.ROUTE, peer=group.name, reason=Reason.NO_REPLICA
         )
-        # This host comes last, in case that it is the one that is cut off.
+        # This host is tried last, as it may be the one without a connection.
         for host in dict.fromkeys((*self._fleet.rank(group.name), self._own_host)):
             if trio.current_time() >= deadline:
-                # A pause of this process ends here too: nothing is sent late.
+                # Checked before each send, as this process may have been paused.
                 return NotRun(step=Step.ROUTE, peer=host, reason=Reason.DEADLINE)
             outcome = await self._send_to(host, call)
-            if not _is_untouched(outcome):
+            if not _did_nothing(outcome):
                 break
         return outcome
 
@@ -95,8 +95,8 @@
         if host == self._own_host:
             return await self._submit(call)
         left = call.deadline - trio.current_time()
-        limit = min(REACH_LIMIT, left * REACH_SHARE)
-        channel = await self._client.reach_proved(host, limit=limit)
+        limit = min(CONNECT_LIMIT_S, left * CONNECT_SHARE)
+        channel = await self._client.open_verified(host, limit=limit)
         if channel is None:
             self._fleet.shun(host, now=trio.current_time())
             return NotRun(step=Step.ROUTE, peer=host, reason=Reason.REFUSED_CONNECTION)
@@ -110,7 +110,7 @@
             left_ms=int(left * 1_000),
             body=call.body,
         )
-        reply = await channel.ask(message, limit=left + WORDS_LIMIT)
+        reply = await channel.ask(message, limit=left + REPLY_GRACE_S)
         if isinstance(reply, Ran):
             return reply.outcome
         return Unknown(step=Step.RECEIVE, peer=host, reason=Reason.LOST_CONNECTION)
@@ -128,8 +128,8 @@
         return ended[0].outcome
 
 
-def _is_untouched(outcome: Outcome) -> bool:
-    """Tell whether an owner did nothing with a request, so that the next may."""
+def _did_nothing(outcome: Outcome) -> bool:
+    """Return whether an owner did nothing, so that another may run the request."""
     match outcome:
         case NotRun(step=Step.ROUTE) | NotRun(reason=Reason.STOPPING):
             return True
--- a/src/lavendergap/entry/ticketclient.py
+++ b/src/lavendergap/entry/ticketclient.py
@@ -1,4 +1,4 @@
-"""Asks other processes about tickets, over channels that are known to carry bytes."""
+"""Sends ticket messages to other hosts' processes, over verified channels."""
 
 from enum import StrEnum
 
@@ -11,29 +11,29 @@
 from ..transport.dialer import Dialer
 from .fleet import Fleet
 
-# A channel that carried a byte this recently, in seconds, is trusted as it is. What
-# is sent once only and lost on a channel becomes "unknown", and a question before it
-# costs one round trip, ten times a second at most.
-TRUSTED_IDLE = 0.1
-# Longer than a channel's own limit of silence, which runs only while a reply is due.
-PROOF_LIMIT = 1.5
-# One over the channel that is open, one over its replacement.
+# A channel that received a byte this recently needs no ping before a request that may
+# be sent only once. A ping costs one round trip; a request lost on a dead channel would
+# end as "unknown".
+TRUSTED_IDLE_S = 0.1
+# Longer than a channel's own silence limit, which only runs while a reply is due.
+VERIFY_LIMIT_S = 1.5
+# Once over the open channel, once over its replacement.
 MAX_TRIES = 2
 
 
-class Unreached(StrEnum):
-    """Why there is no reply of the process that was asked."""
+class NoReply(StrEnum):
+    """Why there is no reply from the process addressed."""
 
     LOST = "no answer"
     REPLACED = "a later process of that host answers"
 
 
 class TicketClient:
-    """Reaches other processes, one life of a host at a time, within limits of time.
+    """Sends ticket messages to one incarnation of another host, within time limits.
 
-    Limits are in seconds. What is asked may reach the other process more than once,
-    also when the answer is `Unreached`: all orders and questions about tickets may
-    be repeated. What may not is sent by `runs`, over a channel of `reach_proved`.
+    Limits are in seconds. A message of `ask` may arrive more than once, also if the
+    result is `NoReply`, so it must be safe to repeat. `RunSender` sends requests that
+    are not, over a channel from `open_verified`.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         self._dialer = dialer
         self._nursery = nursery
         self._dials: dict[str, trio.Event] = {}
-        self._proofs: set[Channel] = set()
+        self._verifying: set[Channel] = set()
 
-    async def reach(self, host: str, *, limit: float) -> Channel | None:
-        """Return an open channel to `host`, or None when there is none in time.
+    async def open_channel(self, host: str, *, limit: float) -> Channel | None:
+        """Return an open channel to `host`, or None if there is none in time.
 
-        All who want the same host wait for one dial, which goes on when they give
-        up: cut short, it would leave a half-made connection behind, and dialled one
-        after the other, a silent host would cost each of them the time of all.
+        All calls for the same host wait for one dial, so that a silent host delays
+        each of them only once. The dial goes on after they have given up: cancelled,
+        it would leave a half-open connection behind.
         """
         channel = self._dialer.get_open(host)
         if channel is not None:
@@ -73,18 +73,18 @@
             del self._dials[host]
             ended.set()
 
-    async def reach_proved(self, host: str, *, limit: float) -> Channel | None:
-        """Return a channel that has just carried bytes both ways.
+    async def open_verified(self, host: str, *, limit: float) -> Channel | None:
+        """Return a channel that has just carried bytes both ways, or None.
 
-        Something between the ends may have lost track of an idle connection. What
-        is sent once only would be lost on it, and become "unknown" although nothing
-        ran; so the question goes first, and the request follows the answer.
+        A firewall may have dropped the state of an idle connection. A request that
+        may be sent only once would be lost on it and end as "unknown", so a ping is
+        answered first.
         """
         give_up_at = trio.current_time() + limit
-        channel = await self.reach(host, limit=limit)
+        channel = await self.open_channel(host, limit=limit)
         if channel is None:
             return None
-        if channel.has_received_since(trio.current_time() - TRUSTED_IDLE):
+        if channel.has_received_since(trio.current_time() - TRUSTED_IDLE_S):
             return channel
         left = give_up_at - trio.current_time()
         reply = await self._exchange(channel, TicketAsk(verb=PING, ticket=""), left)
@@ -92,26 +92,24 @@
             return None
         return channel
 
-    async def ask(
-        self, peer: Peer, ask: TicketAsk, *, limit: float
-    ) -> Reply | Unreached:
-        """Ask one life of a host; another life of it cannot answer for it."""
+    async def ask(self, peer: Peer, ask: TicketAsk, *, limit: float) -> Reply | NoReply:
+        """Send a message to one incarnation of a host and return its reply."""
         if peer.host == self._own.host:
-            return Unreached.REPLACED
+            return NoReply.REPLACED
         give_up_at = trio.current_time() + limit
         for _ in range(MAX_TRIES):
             left = give_up_at - trio.current_time()
-            channel = await self.reach(peer.host, limit=left)
+            channel = await self.open_channel(peer.host, limit=left)
             if channel is None or channel.peer is None:
-                return Unreached.LOST
+                return NoReply.LOST
             if channel.peer.incarnation != peer.incarnation:
                 is_later = channel.peer.incarnation > peer.incarnation
-                return Unreached.REPLACED if is_later else Unreached.LOST
+                return NoReply.REPLACED if is_later else NoReply.LOST
             left = give_up_at - trio.current_time()
             reply = await self._exchange(channel, ask, left)
             if isinstance(reply, TicketReply):
                 return _decode(reply)
-        return Unreached.LOST
+        return NoReply.LOST
 
     async def _exchange(
         self, channel: Channel, ask: TicketAsk, limit: float
@@ -119,23 +117,23 @@
         if limit <= 0 or not channel.is_open:
             return Loss.SILENT
         reply = await channel.ask(ask, limit=limit)
-        if reply is Loss.SILENT and channel.is_open and channel not in self._proofs:
-            # The channel judges its silence only while a reply is due. Questions
-            # that give up sooner would meet the same silent channel for ever; a
-            # longer one makes it judge, and the next question dials anew.
-            self._proofs.add(channel)
-            self._nursery.start_soon(self._prove, channel)
+        if reply is Loss.SILENT and channel.is_open and channel not in self._verifying:
+            # A channel checks for silence only while a reply is due. Messages with
+            # shorter limits would keep using a dead channel; a ping with a longer
+            # limit has it closed, and the next message opens a new one.
+            self._verifying.add(channel)
+            self._nursery.start_soon(self._verify, channel)
         return reply
 
-    async def _prove(self, channel: Channel) -> None:
+    async def _verify(self, channel: Channel) -> None:
         try:
-            await channel.ask(TicketAsk(verb=PING, ticket=""), limit=PROOF_LIMIT)
+            await channel.ask(TicketAsk(verb=PING, ticket=""), limit=VERIFY_LIMIT_S)
         finally:
-            self._proofs.discard(channel)
+            self._verifying.discard(channel)
 
 
-def _decode(reply: TicketReply) -> Reply | Unreached:
+def _decode(reply: TicketReply) -> Reply | NoReply:
     try:
         return decode_reply(reply)
     except BadFrameError:
-        return Unreached.LOST
+        return NoReply.LOST
