--- a/src/lavendergap/entry/admission.py
+++ b/src/lavendergap/entry/admission.py
@@ -1,26 +1,26 @@
-"""The gate of each service on this host: queries enter, wait briefly or are refused."""
+"""Admission of a service's queries: they start, wait briefly or are refused."""
 
 import trio
 
 from ..coordination.gate import Entered, Gate, Waiting
 from ..state.outcome import NotRun, Reason, Step
 
-# A query that is still waiting after this share of its time, a little more than the
-# gate foresaw, is refused: what is left would hardly do for an answer, and the caller
-# is told while it can still go elsewhere.
+# A query still waiting after this share of its time is refused. The rest would hardly
+# do for an answer, and the caller has time to retry elsewhere. It is a little more than
+# the wait that the gate expects for the queries that it admits.
 MAX_WAIT_SHARE = 0.3
-LATE_RETRY_AFTER_MS = 500
+TIMEOUT_RETRY_AFTER_MS = 500
 
 
 class GateKeeper:
-    """A service's gate and the queries that wait at it."""
+    """A service's admission gate and the queries waiting there."""
 
     def __init__(self) -> None:
         self.gate = Gate()
         self._waiting: dict[int, trio.Event] = {}
 
     async def enter(self, *, deadline: float) -> NotRun | None:
-        """Return None once the query may start, or why it may not."""
+        """Return None once the query may start, or the reason why it may not."""
         now = trio.current_time()
         verdict = self.gate.enter(now=now, left=deadline - now)
         match verdict:
@@ -38,21 +38,21 @@
             with trio.move_on_at(until):
                 await ready.wait()
         except trio.Cancelled:
-            # The caller left. Its place, or the room that it was just given, goes
-            # to the next; without this the gate would narrow with each of them.
-            self._give_back(number, ready)
+            # The caller left. Its place in the queue, or the slot it was just given,
+            # is released; otherwise each such query would occupy a slot for good.
+            self._release(number, ready)
             raise
         if ready.is_set():
             return None
-        self._give_back(number, ready)
+        self._release(number, ready)
         return NotRun(
             step=Step.ADMIT,
             peer="",
             reason=Reason.OVERLOADED,
-            retry_after_ms=LATE_RETRY_AFTER_MS,
+            retry_after_ms=TIMEOUT_RETRY_AFTER_MS,
         )
 
-    def _give_back(self, number: int, ready: trio.Event) -> None:
+    def _release(self, number: int, ready: trio.Event) -> None:
         if ready.is_set():
             now = trio.current_time()
             self.leave(started=now, is_congested=False)
@@ -61,7 +61,7 @@
         self.gate.leave_queue(number)
 
     def leave(self, *, started: float, is_congested: bool) -> None:
-        """Note the end of a query that entered at `started`; let others in."""
+        """Record the end of a query that entered at `started`; admit waiting ones."""
         self.gate.leave(
             now=trio.current_time(), started=started, is_congested=is_congested
         )
--- a/src/lavendergap/entry/coordinator.py
+++ b/src/lavendergap/entry/coordinator.py
@@ -1,4 +1,4 @@
-"""What this host does as the coordinator of a query that a caller brought it."""
+"""This host as the coordinator of its callers' queries."""
 
 import logging
 
@@ -69,7 +69,7 @@
     async def _search_pinned(
         self, query: Query
     ) -> tuple[SearchRun, SearchResult | Refusal]:
-        """Run the query at a snapshot, and again at a newer one if that is gone."""
+        """Run the query at a snapshot; retry at a newer one if its version is gone."""
         run: SearchRun | None = None
         result: SearchResult | Refusal | None = None
         for _ in range(MAX_SNAPSHOTS_TRIED):
--- a/src/lavendergap/entry/quarantine.py
+++ b/src/lavendergap/entry/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which servers ended from servers, by what all hosts saw."""
+"""Holds back requests that crash servers, as recorded by all hosts."""
 
 from collections.abc import Callable, Mapping
 
@@ -16,28 +16,29 @@
 logger = get_logger(Category.ROUTE)
 
 MAX_UNWRITTEN = 64
-"""Writes to the store that wait at most; beyond it strikes count on this host only.
+"""Queued writes to the store; beyond it, strikes are not stored for other hosts.
 
-Where many servers end at once, of themselves, each request that was under way there and
-failed is a write, and the store bounds all hosts' calls together.
+If many servers stop at once for another reason, each request that failed on them is a
+write, and the store limits the rate of all hosts' calls together.
 """
 
-MAX_SERVERS_TOLD = 8
-"""Servers named in a strike at most: they are for people, and 87 are 1 KB."""
+MAX_SERVERS_LISTED = 8
+"""Servers listed in a strike; the list is for operators only and is kept short."""
 
-WRITE_RETRY = 1.0
-"""Seconds until a write that the store did not take is tried again."""
+WRITE_RETRY_S = 1.0
+"""Delay before a failed write to the store is retried."""
 
-SWEEP_INTERVAL = 5.0
-"""How often strikes are looked at for their age, in seconds."""
+SWEEP_INTERVAL_S = 5.0
+"""Interval at which expired strikes are dropped."""
 
 
 class QuarantineKeeper:
-    """The fleet's strikes, as the store holds them, and what this host does with them.
+    """The strikes of all hosts, and whether requests are held back by them.
 
-    `announce` takes a strike to the other hosts; `sweeps` says whether this host is the
-    one that drops old strikes from the store. The content of a request is worked out
-    only while there are strikes, or when a server has ended under it.
+    A strike records a request that crashed servers. `announce` sends one to the other
+    hosts; `sweeps` returns whether this host is the one that removes expired strikes
+    from the store. A request's content id is computed only while there are strikes, or
+    when a server has crashed on the request.
     """
 
     def __init__(
@@ -58,23 +59,23 @@
         )
 
     async def run(self) -> None:
-        """Write to the store what this host has to record, until cancelled."""
+        """Write this host's changes to the store, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._sweep)
             async for write in self._unwritten:
                 await self._write(write)
 
-    # What may be done with a request.
+    # Decisions on requests.
 
     def judge(self, request: ForwardedRequest, body: bytes) -> Standing:
-        """Return what may be done with a request."""
+        """Return whether a request is clear, suspect or held back."""
         if self._quarantine.is_empty:
             return Standing.CLEAR
         content = identify_content(request, body)
         return self._quarantine.judge(content, now=trio.current_time())
 
     def refuse(self, request: ForwardedRequest, body: bytes, *, peer: str) -> NotRun:
-        """Return the refusal of a request that is held back, with when that ends."""
+        """Return the refusal of a request held back, with the time until it may run."""
         content = identify_content(request, body)
         left = self._quarantine.count_left(content, now=trio.current_time())
         return NotRun(
@@ -84,10 +85,10 @@
             retry_after_ms=int(left * 1_000),
         )
 
-    # What became of it.
+    # Results of requests.
 
     def note_answer(self, request: ForwardedRequest, body: bytes) -> None:
-        """Note that a server has answered a request: it does not end them."""
+        """Record that a server answered a request, and clear its strikes."""
         if self._quarantine.is_empty:
             return
         content = identify_content(request, body)
@@ -102,7 +103,7 @@
             content=content,
             n_stored=len(stored),
         )
-        self._count()
+        self._update_gauge()
         for name in stored:
             self._enqueue(name)
 
@@ -114,7 +115,7 @@
         servers: tuple[str, ...],
         is_trial: bool,
     ) -> None:
-        """Note that `servers` ended under a request and that none answered it."""
+        """Record that `servers` crashed on a request and that none answered it."""
         content = identify_content(request, body)
         now = trio.current_time()
         if self._quarantine.judge(content, now=now) is Standing.HELD:
@@ -123,10 +124,10 @@
             name=f"{content}.{identify_attempt(request)}",
             content=content,
             host=self._own_name,
-            servers=servers[:MAX_SERVERS_TOLD],
+            servers=servers[:MAX_SERVERS_LISTED],
             is_trial=is_trial,
         )
-        is_taken = self._quarantine.add(strike, now=now)
+        is_new = self._quarantine.add(strike, now=now)
         log_decision(
             logger,
             "strike",
@@ -135,17 +136,17 @@
             n_servers=len(servers),
             servers=strike.servers,
             is_trial=is_trial,
-            is_taken=is_taken,
+            is_taken=is_new,
             standing=self._quarantine.judge(content, now=now).value,
         )
-        self._count()
-        if is_taken:
+        self._update_gauge()
+        if is_new:
             metrics.strikes.inc()
             self._announce(strike)
             self._enqueue(strike)
 
     def receive(self, strike: Strike) -> None:
-        """Take a strike that another host saw; that host writes it to the store."""
+        """Add a strike from another host, which writes it to the store itself."""
         now = trio.current_time()
         if not self._quarantine.add(strike, now=now):
             return
@@ -158,12 +159,12 @@
             is_trial=strike.is_trial,
             standing=self._quarantine.judge(strike.content, now=now).value,
         )
-        self._count()
+        self._update_gauge()
 
     # The store.
 
     def use_entries(self, entries: Mapping[str, bytes], revision: int) -> None:
-        """Put in force what the store holds."""
+        """Apply the strikes in the store."""
         strikes = []
         for name, body in entries.items():
             try:
@@ -179,7 +180,7 @@
                 )
         now = trio.current_time()
         self._quarantine.replace_stored(strikes, now=now)
-        self._count()
+        self._update_gauge()
         log_decision(
             logger,
             "strikes in force",
@@ -198,14 +199,14 @@
             )
 
     async def _write(self, write: Strike | str) -> None:
-        """Write until the store has taken it, for all hosts and for those to come."""
+        """Retry a write until the store has accepted it."""
         while not await self._try_to_write(write):
-            await trio.sleep(WRITE_RETRY)
+            await trio.sleep(WRITE_RETRY_S)
 
     async def _try_to_write(self, write: Strike | str) -> bool:
         match write:
             case Strike(name=name) if not self._quarantine.is_unstored(name):
-                return True  # Cleared meanwhile, or another write of it was taken.
+                return True  # Cleared meanwhile, or stored by another write.
             case Strike():
                 return await self._store.write_strike(write)
             case str():
@@ -213,15 +214,15 @@
 
     async def _sweep(self) -> None:
         while True:
-            await trio.sleep(SWEEP_INTERVAL)
+            await trio.sleep(SWEEP_INTERVAL_S)
             if self._quarantine.is_empty:
                 continue
             old = self._quarantine.expire(now=trio.current_time())
-            self._count()
+            self._update_gauge()
             if self._sweeps():
                 for name in old:
                     self._enqueue(name)
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         now = trio.current_time()
         metrics.held_contents.set(self._quarantine.count_held(now=now))
