--- a/src/lavendergap/entry/batch.py
+++ b/src/lavendergap/entry/batch.py
@@ -10,7 +10,7 @@
 from ..state.outcome import Answered
 
 # Called with the end of a call and the index versions that its server reported.
-Finish = Callable[[FinishCall, tuple[int, ...]], None]
+FinishCallback = Callable[[FinishCall, tuple[int, ...]], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -18,7 +18,7 @@
     """A call to be made; `finish` is called when it has ended."""
 
     call: Call
-    finish: Finish
+    finish: FinishCallback
 
 
 @dataclass(kw_only=True, slots=True)
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -29,7 +29,7 @@
 from ..transport.backend import BackendClient
 from ..transport.forward import ForwardClient
 from .alarms import Timer, TimerQueue
-from .batch import Batch, Finish, Wanted
+from .batch import Batch, FinishCallback, Wanted
 
 logger = logging.getLogger("lavendergap.route")
 
@@ -103,7 +103,7 @@
         self._attempt_prefix = attempt_prefix
         self._make_client = make_client
         self._clients: dict[str, Client] = {}
-        self._finishes: dict[int, Finish] = {}
+        self._finishes: dict[int, FinishCallback] = {}
         self._running: dict[int, Cancellable] = {}
         self._versions: dict[str, tuple[int, ...]] = {}
         self._timers = timers
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -216,7 +216,7 @@
 
     async def _wait(self) -> None:
         while True:
-            # First, as a shard sent now may be refused at once and complete the join.
+            # Before the join is checked, as shards sent now may be refused at once.
             self._check_deferred()
             if self._join.is_done or self._join.needs_newer_snapshot:
                 break
@@ -529,7 +529,7 @@
     def _handle_version_gone(
         self, pinning: Pinning, shard: Shard, answer: ShardAnswer, now: float
     ) -> None:
-        """Have the query restart at another snapshot; without one, miss the shard."""
+        """Mark the version gone; without another snapshot, report the shard missing."""
         version = self._snapshot.version
         pinning.mark_gone(shard=shard.name, version=version, now=now)
         outcome = answer.outcome
