--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,7 +1,7 @@
-"""Entry hosts in one process, over streams in memory and fake backend servers.
+"""Entry hosts in one process, over memory streams and with fake backend servers.
 
-Everything between the callers' port and the connections is the real code; only TCP
-and the backend servers are fakes, so that failures are walked on a virtual clock.
+Only TCP and the backend servers are fakes, so that tests of failures run on a virtual
+clock.
 """
 
 from collections.abc import Awaitable, Callable
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Backends:
-    """The fake backend servers: which versions they have, how long a call takes."""
+    """The fake backend servers: their index versions, delays and calls received."""
 
     versions: dict[str, tuple[int, ...]] = field(default_factory=dict)
     delays: dict[str, float] = field(default_factory=dict)
@@ -58,7 +58,7 @@
 
 
 class FakeClient:
-    """Stands for the connections to one backend server."""
+    """Fake connections to one backend server."""
 
     def __init__(self, *, server: Server, host: str, backends: Backends) -> None:
         self.server = server
@@ -66,7 +66,7 @@
         self._backends = backends
 
     async def call(self, call: Call, *, attempt: bytes, fresh: bool) -> Verdict:
-        """Answer after the server's delay, from the version asked for."""
+        """Answer from the requested version after the server's delay."""
         name = self.server.name
         self._backends.calls.append((name, call))
         self._backends.callers.setdefault(name, set()).add(self._host)
@@ -87,7 +87,7 @@
         return Verdict(outcome=Answered(body=body), report=report)
 
     async def probe(self) -> ServerReport | None:
-        """Say nothing of the health."""
+        """Return no report."""
         return None
 
     async def close_idle(self, *, now: float) -> None:
@@ -98,7 +98,7 @@
 
 
 async def refuse_tickets(ask: TicketAsk) -> TicketReply:
-    """Answer no question about tickets; these nodes serve queries only."""
+    """Reply that no ticket is known; these nodes serve queries only."""
     return TicketReply(verdict="forgotten")
 
 
@@ -151,7 +151,7 @@
 
 
 class Network:
-    """Carries streams between nodes; `silent` hosts take bytes and answer nothing."""
+    """Streams between nodes; `silent` hosts accept bytes but send nothing back."""
 
     def __init__(self, *, nursery: trio.Nursery) -> None:
         self.silent: set[str] = set()
@@ -183,7 +183,7 @@
 
 
 class Cluster:
-    """Several nodes of one deployment with one service, and what happens to them."""
+    """Several nodes of one deployment with one service."""
 
     def __init__(
         self,
@@ -214,7 +214,7 @@
     async def search(
         self, node: Node, *, deadline_ms: float = DEADLINE_MS
     ) -> SearchResult | Refusal:
-        """Have a caller ask `node` one query."""
+        """Send one query to `node`."""
         now = trio.current_time()
         query = Query(
             request_id="r",
@@ -226,7 +226,7 @@
         return await node.coordinator.search(query)
 
     async def open_channels(self, node: Node) -> None:
-        """Have `node` be connected to all others, as hosts are after some queries."""
+        """Open channels from `node` to all others, as after some queries."""
         for address, other in self.network.nodes.items():
             if other is not node:
                 assert isinstance(await node.dialer.dial(other.name, address), Channel)
--- a/tests/test_greatest.py
+++ b/tests/test_greatest.py
@@ -1,4 +1,4 @@
-"""Queries for the greatest records of all shards, while owners are slow or lost."""
+"""Queries for the greatest records of all shards, with slow and lost owners."""
 
 from contextlib import ExitStack
 from dataclasses import replace
@@ -16,11 +16,11 @@
 from lavendergap.state.snapshot import Shard, Snapshot
 from tests.nodes import Cluster, Node
 
-DEADLINE = 0.4
+DEADLINE_S = 0.4
 
 
 def make_cluster(nursery: trio.Nursery) -> Cluster:
-    """Return nodes whose groups are services of their own, as routes name them."""
+    """Return nodes whose groups are services of their own, as for routes."""
     cluster = Cluster(nursery=nursery)
     services = tuple(
         replace(cluster.service, name=group.name, groups=(group,))
@@ -48,7 +48,7 @@
             ),
             body=b"",
             started=now,
-            deadline=now + DEADLINE,
+            deadline=now + DEADLINE_S,
             greatest=GreatestQuery(
                 request=ForwardedRequest(
                     method=b"GET", target=b"/", attempt=b"r", headers=()
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 async def cluster(autojump_clock):
-    """Hosts of which the first one is connected to all others."""
+    """Hosts, the first of which has open channels to all others."""
     async with trio.open_nursery() as nursery:
         cluster = make_cluster(nursery)
         await cluster.open_channels(cluster.nodes[0])
@@ -85,8 +85,8 @@
         nursery.cancel_scope.cancel()
 
 
-def choose_other(cluster: Cluster) -> Node:
-    """Return the owner of most shards among the hosts that are asked by the first."""
+def get_main_owner(cluster: Cluster) -> Node:
+    """Return the host with most shards, other than the first."""
     return max(cluster.nodes[1:], key=cluster.count_owned)
 
 
@@ -95,10 +95,10 @@
 
 
 class TestLostOwners:
-    async def test_what_it_may_have_sent_counts_against_the_route(self, cluster):
-        # An owner dies 10 ms after it was asked: too early for it to have hedged, so
-        # each call has reached one server at most of the two that the route allows.
-        node, lost = cluster.nodes[0], choose_other(cluster)
+    async def test_possible_attempts_of_a_lost_owner_count(self, cluster):
+        # An owner is lost before it could hedge: each call has reached at most one of
+        # the two servers that the route allows, so one attempt is left.
+        node, lost = cluster.nodes[0], get_main_owner(cluster)
         cluster.network.silent.add(lost.name)
         async with trio.open_nursery() as asking:
             asking.start_soon(ask, cluster, node)
@@ -111,11 +111,9 @@
         assert {call.max_attempts for call in repeated} == {1}
 
     async def test_what_it_may_have_hedged_is_not_asked_elsewhere(self, cluster):
-        # An owner is silent for half of the time to the goal. It may be busy, and may
-        # have sent each call to both servers that the route allows; a third one would
-        # break the operator's bound. The caller is told what is missing, and asks
-        # again.
-        node, silent = cluster.nodes[0], choose_other(cluster)
+        # A silent owner may have sent each call to both servers that the route allows.
+        # Sending it elsewhere would exceed the route's limit.
+        node, silent = cluster.nodes[0], get_main_owner(cluster)
         cluster.network.silent.add(silent.name)
         started = trio.current_time()
         assert isinstance(await ask(cluster, node), Unknown)
@@ -127,10 +125,9 @@
 
     @pytest.mark.parametrize("busy_for", [0.02, 0.04, 0.12])
     async def test_a_busy_owner_is_not_lost(self, cluster, busy_for):
-        # A quick look wants its answer in 33 ms. An owner is busy for 20 to 120, as
-        # weak hosts are that read new routes, and answers no ping meanwhile. Taken for
-        # lost, its shards would be asked twice and it be passed over for two seconds.
-        node, busy = cluster.nodes[0], choose_other(cluster)
+        # A busy owner answers no ping for longer than the goal is away. If it were
+        # given up, its calls would be repeated and it would get no new work.
+        node, busy = cluster.nodes[0], get_main_owner(cluster)
         before = node.fleet.rank("scheduler-00")
         cluster.network.silent.add(busy.name)
         async with trio.open_nursery() as asking:
@@ -142,12 +139,12 @@
 
 
 class TestOpeningChannels:
-    """The first query to an owner, whose channel is only being opened."""
+    """The first query to an owner, whose channel is not open yet."""
 
     async def test_an_owner_is_not_lost_while_it_opens(self, cluster):
-        # A weak host takes 30 ms to take a channel, and a quick look has 33. Taken for
-        # lost after a fifth of them, a live host was passed over for two seconds.
-        node, slow = cluster.nodes[0], choose_other(cluster)
+        # Opening a channel takes most of the time to the goal. A live owner must not
+        # be given up meanwhile, as it would get no new work.
+        node, slow = cluster.nodes[0], get_main_owner(cluster)
         _forget_channel(node, slow)
         cluster.network.dial_times[slow.name] = 0.03
         before = node.fleet.rank("scheduler-00")
@@ -155,10 +152,10 @@
         assert not list_repeats(cluster)
         assert node.fleet.rank("scheduler-00") == before
 
-    async def test_one_that_never_opens_has_been_sent_nothing(self, cluster):
-        # A host has lost power, and connections to it hang. The next owner is asked
-        # in time for the goal, and may use all attempts: none has left this host.
-        node, dead = cluster.nodes[0], choose_other(cluster)
+    async def test_an_owner_that_never_opens_uses_no_attempts(self, cluster):
+        # Connections to a host hang. The next owner is asked in time for the goal and
+        # may use all attempts, as nothing was sent to the first.
+        node, dead = cluster.nodes[0], get_main_owner(cluster)
         _forget_channel(node, dead)
         cluster.network.dial_times[dead.name] = 10.0
         started = trio.current_time()
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A backend server that starts again under its name: nothing known before holds."""
+"""A backend server that restarts under its name: all state of it is reset."""
 
 from dataclasses import replace
 from random import Random
@@ -21,7 +21,7 @@
 def restart(
     owner: Owner, names: str = "ab", *, incarnation: int = 2, slots: int = 2
 ) -> None:
-    """Put in force that server `a` has started again under its name."""
+    """Apply settings in which server `a` has restarted under its name."""
     group = make_group(names, slots=slots)
     servers = [
         replace(server, incarnation=incarnation) if server.name == "a" else server
@@ -43,8 +43,8 @@
 
 class TestWhatWasLearned:
     def test_an_ejected_server_is_used_again(self):
-        # The process fails, is ejected for seconds, and a new one starts meanwhile.
-        # Believed of the new one, the group would be short of half its slots.
+        # A failing server restarts while it is ejected. Were its new process ejected,
+        # too, the group would lack its slots.
         owner = make_owner("a")
         for _ in range(4):
             owner.submit()
@@ -59,9 +59,9 @@
             False,
         )
 
-    def test_a_server_that_was_leaving_or_gone_serves(self):
-        # Another server had its address, or it said that it drains: said of a process
-        # that has ended, this would keep the next one out for a minute.
+    def test_draining_state_is_reset(self):
+        # The old process was draining, or another server had its address. Kept for
+        # the new process, this state would exclude it for a minute.
         owner = make_owner("a")
         owner.submit()
         owner.end_last(refuse(Reason.NO_REPLICA))
@@ -71,8 +71,8 @@
         assert len(owner.started) == 2
 
     def test_slots_of_the_process_before_are_free(self):
-        # Two calls hang at a process that has died unnoticed. The next one has all of
-        # its slots, in slow start one, and the calls that hang hold none of them.
+        # Two calls hang at a process that died unnoticed. They must not occupy slots
+        # of the next one, which has one in slow start.
         owner = make_owner("a")
         owner.submit()
         owner.submit()
@@ -92,7 +92,7 @@
         replica = get_replica(owner)
         assert (replica.slowness, replica.foreign, replica.in_flight) == (0.0, 0, 0)
 
-    def test_a_late_end_teaches_nothing_of_the_next_process(self):
+    def test_a_late_end_does_not_count_for_the_next_process(self):
         owner = make_owner("a")
         owner.submit(max_attempts=1)
         restart(owner, "a")
@@ -100,7 +100,7 @@
         replica = get_replica(owner)
         assert (replica.blame, replica.in_flight) == (0.0, 0)
 
-    def test_each_of_two_starts_between_two_looks_is_another_one(self):
+    def test_two_restarts_between_updates_are_distinct(self):
         owner = make_owner("a")
         owner.submit()
         restart(owner, "a", incarnation=5)
@@ -111,9 +111,9 @@
             owner.end(attempt_id)
         assert get_replica(owner).in_flight == 0
 
-    def test_what_is_learned_of_it_stays_through_other_changes(self):
-        # Its predecessor still holds a call when the next change of the group comes:
-        # the records of the two must not be mixed up.
+    def test_its_state_is_kept_through_other_changes(self):
+        # The old process still has a call at the group's next change. The state of the
+        # two processes must not be mixed up.
         owner = make_owner("ab")
         owner.submit()
         owner.submit()
@@ -126,7 +126,7 @@
         restart(owner)
         assert get_replica(owner).in_flight == n_at_a
 
-    def test_a_call_that_the_process_before_refused_may_go_to_the_next(self):
+    def test_a_call_refused_by_the_previous_process_may_go_to_the_next(self):
         owner = make_owner("ab", slots=1)
         owner.submit()
         owner.submit()
@@ -140,8 +140,8 @@
 
 class TestAtMostOnce:
     def test_not_run_by_the_next_process_does_not_cover_the_one_before(self):
-        # A booking is sent, the server dies with it and starts again, and the new
-        # process truly says that it ran nothing. It cannot speak for the old one.
+        # A server dies with a booking and restarts. That the new process did not run
+        # it proves nothing about the old one, so it must not be sent again.
         owner = make_owner("ab")
         call = owner.submit(idempotent=False)
         server = owner.started[-1].server
@@ -152,7 +152,7 @@
 
 
 class FakeClient:
-    """Connections that never answer; they tell when they are closed."""
+    """Connections that refuse each call and record that they were closed."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -214,7 +214,7 @@
         owner.submit([Wanted(call=call, finish=lambda end, _: ended.append(end))])
         return owner, settings, clients
 
-    async def test_those_to_the_process_before_are_closed(self, owned):
+    async def test_those_to_the_previous_process_are_closed(self, owned):
         owner, settings, clients = owned
         before = list(clients)
         owner.replace(change_servers(settings, incarnation=7))
@@ -222,10 +222,9 @@
         assert all(client.is_closed for client in before)
         assert len(clients) == 2 * len(before)
 
-    async def test_those_that_only_may_be_fewer_are_kept(self, owned):
-        # With each host that comes or goes a host's part of a server's connections is
-        # another one. Were new ones opened beside the old, the server's bound, which
-        # counts those of all callers, would be exceeded and it would reset some.
+    async def test_those_whose_limit_changes_are_kept(self, owned):
+        # A host's share of a server's connections changes as hosts come and go. New
+        # connections beside the old ones would exceed the server's limit.
         owner, settings, clients = owned
         before = list(clients)
         owner.replace(change_servers(settings, connections=3))
@@ -244,8 +243,8 @@
     return FeedChanges(revision=revision, changes=changes)
 
 
-class TestWhatPeersHear:
-    def test_another_start_is_news_and_another_fingerprint(self):
+class TestFeedCopies:
+    def test_a_restart_is_news_and_changes_the_fingerprint(self):
         copy = FeedCopy(lapse_grace=2.0)
         copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
         before = copy.fingerprint
@@ -254,26 +253,26 @@
         assert copy.entries == {"a": b"2"}
         assert copy.fingerprint != before
 
-    def test_a_start_that_is_heard_of_first_stays(self):
-        # The second holder's news of the end come after the first one's of the start.
+    def test_a_late_removal_does_not_undo_a_start(self):
+        # One peer's removal of the old entry arrives after another's new entry.
         copy = FeedCopy(lapse_grace=2.0)
         copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
         copy.take_changes(change(3, b"2"), now=1.0)
         copy.take_changes(change(2, None), now=1.1)
         assert copy.entries == {"a": b"2"}
 
-    def test_two_starts_between_two_looks(self):
-        told = FeedCopy(lapse_grace=2.0)
+    def test_changes_and_listing_agree_on_two_restarts(self):
+        changed = FeedCopy(lapse_grace=2.0)
         listed = FeedCopy(lapse_grace=2.0)
-        for copy in (told, listed):
+        for copy in (changed, listed):
             first = FeedListing(revision=1, entries=(entry("a", 1),))
             copy.take_listing(first, now=0.0)
-        told.take_changes(change(5, None, b"2", None, b"3"), now=1.0)
+        changed.take_changes(change(5, None, b"2", None, b"3"), now=1.0)
         listed.take_listing(FeedListing(revision=5, entries=(entry("a", 3),)), now=1.0)
-        assert told.entries == listed.entries == {"a": b"3"}
-        assert told.fingerprint == listed.fingerprint
+        assert changed.entries == listed.entries == {"a": b"3"}
+        assert changed.fingerprint == listed.fingerprint
 
-    def test_one_that_lapsed_while_the_store_was_away_is_not_dropped(self):
+    def test_an_entry_renewed_during_a_store_outage_is_kept(self):
         copy = FeedCopy(lapse_grace=2.0)
         copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
         copy.note_return(now=1.0)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a group over real connections to backend servers of the stand-in."""
+"""The owner of a group, over real connections to stand-in backend servers."""
 
 from contextlib import asynccontextmanager
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """A clock that jumps only after a real pause, as bytes go through the kernel."""
     return MockClock(autojump_threshold=0.01)
 
 
@@ -114,9 +114,8 @@
 class TestDraining:
     @pytest.mark.parametrize("health", ["draining", "serving"])
     async def test_leaving_server_gets_no_new_work(self, health, clock):
-        # A backend server begins to drain. Its health endpoint says so, or lies
-        # that all is well. Its own refusals are believed either way: every call is
-        # answered by the other replica, and after a few seconds it sees none.
+        # A server drains, whatever its health endpoint reports. Its refusals count:
+        # the other replica answers all calls, and it soon receives none.
         async with open_bench() as bench:
             assert await bench.call_all(20) == 20
             bench.set_faults(0, state="draining", health_says=health)
@@ -126,8 +125,8 @@
             assert bench.servers[0].counts.received - received <= 2
 
     async def test_server_that_returns_is_used_again(self, clock):
-        # The drain was called off. Once its answers or its health say "serving"
-        # again, the server gets its part of the work.
+        # The drain was cancelled. Once its answers or its health report "serving", the
+        # server gets its share of calls.
         async with open_bench() as bench:
             bench.set_faults(0, state="draining")
             await bench.call_all(50)
@@ -140,9 +139,8 @@
 
 class TestSilence:
     async def test_silent_connections_cost_no_answer(self, clock):
-        # Something between the owner and its servers lost track of all their open
-        # connections. Each read that is caught on one is answered within its
-        # deadline over a fresh connection.
+        # A firewall drops the state of all open connections. A read on one of them is
+        # answered over a new connection before its deadline.
         async with open_bench() as bench:
             assert await bench.call_all(20) == 20
             for place in range(N_SERVERS):
@@ -152,8 +150,8 @@
 
 class TestSlots:
     async def test_a_burst_never_exceeds_slots_or_connections(self, clock):
-        # Forty callers at once, two servers of two slots. The owner queues what
-        # does not fit; the servers never see more than their slots at once.
+        # Forty concurrent calls for two servers of two slots: the owner queues the
+        # calls that would exceed the servers' slots.
         async with open_bench() as bench:
             async with trio.open_nursery() as nursery:
                 for _ in range(40):
@@ -166,9 +164,8 @@
 
 class TestChangesBeforeAnAttemptRuns:
     async def test_a_server_taken_away_in_the_same_turn_ends_nothing_else(self, clock):
-        # A call is placed on a server; before its task first runs, new settings take
-        # the server away. The call is finished as it started. The task once looked
-        # its server up by itself, found none, and the whole process ended.
+        # New settings remove a server before the task of its attempt first runs. If
+        # the task looked up its connections only then, it would end the process.
         async with open_bench() as bench:
             service = bench.settings.services[0]
             empty = replace(service, groups=(replace(service.groups[0], servers=()),))
@@ -183,8 +180,8 @@
             assert isinstance(ended[0].outcome, Answered)
 
     async def test_a_call_cancelled_in_the_same_turn_reaches_no_server(self, clock):
-        # A caller leaves in the very turn in which its call was placed. The task
-        # that had not run yet was not cancelled, and the server worked for nobody.
+        # A call is cancelled before the task of its attempt first runs. The attempt
+        # must be cancelled, too, or the server would run it for nobody.
         async with open_bench() as bench:
             await bench.call()
             n_before = sum(server.counts.received for server in bench.servers)
@@ -195,10 +192,10 @@
             assert sum(s.counts.received for s in bench.servers) == n_before
 
 
-class TestErrorsOfTheProgram:
-    async def test_one_costs_its_attempt_and_no_other_call(self, clock):
-        # A call meets a fault in this program's own code. The caller gets its answer
-        # from another server, and the process serves on.
+class TestUnexpectedExceptions:
+    async def test_an_unexpected_exception_fails_one_attempt_only(self, clock):
+        # An unexpected exception in one attempt must not end the process; the call is
+        # answered by another server.
         async with open_bench() as bench:
 
             class FaultyClient(BackendClient):
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""The coordinator of a query, over real channels and owners with fake servers."""
+"""The coordinator of queries, over real channels and owners with fake servers."""
 
 import trio
 
@@ -10,7 +10,7 @@
 
 
 async def search_whole(cluster: Cluster, node: Node) -> SearchResult:
-    """Ask a query, check that its answer is true to itself, and return it."""
+    """Send a query, check that its answer is consistent, and return it."""
     result = await cluster.search(node)
     assert isinstance(result, SearchResult)
     assert result.coverage.n_answered == len(result.results)
@@ -31,9 +31,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_large_results_of_one_owner_arrive(self, autojump_clock):
-        # One owner has eight shards, whose results of 900 KB come in the same turn.
-        # Put into one message they were longer than a frame may be: the channel
-        # was closed, and so was each that replaced it, for as long as it was asked.
+        # Large results of eight shards arrive in the same turn. In one message, they
+        # would exceed the frame limit and close the channel on every query.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery, n_hosts=2, n_groups=16)
             cluster.backends.n_padding = 900_000
@@ -45,9 +44,8 @@
     async def test_more_hosts_than_connections_share_through_owners(
         self, autojump_clock
     ):
-        # Thirty hosts, backend servers that take 25 connections: a connection from
-        # each host would be refused. One host alone calls each server, whichever
-        # host a caller reaches, and every answer is whole.
+        # With more hosts than a server accepts connections, only one host calls each
+        # server, whichever host coordinates.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery, n_hosts=30)
             for node in cluster.nodes:
@@ -56,9 +54,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_when_an_owner_leaves_one_other_takes_over(self, autojump_clock):
-        # Membership moves on: the owner of some groups is gone. Exactly one other
-        # host calls their servers from then on; all other groups stay where they
-        # were, so that a restart disturbs a part of the fleet's size only.
+        # An owner leaves: one other host takes over each of its groups, and all other
+        # groups keep their owners.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery, n_hosts=5)
             leaver, *rest = sorted(cluster.nodes, key=cluster.count_owned)[::-1]
@@ -79,27 +76,25 @@
             nursery.cancel_scope.cancel()
 
     async def test_silent_owner_is_bypassed_within_the_deadline(self, autojump_clock):
-        # An owner is paused: its channel takes bytes and answers nothing. The
-        # caller gets the whole answer in time all the same, since the owner's
-        # shards go to the hosts ranked next once a ping has stayed unanswered.
+        # An owner is paused and answers no ping. Its shards go to the hosts ranked
+        # next in time for a whole answer.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
-            caller_side, *others = cluster.nodes
+            coordinator, *others = cluster.nodes
             silent = max(others, key=cluster.count_owned)
             assert cluster.count_owned(silent) > 0
-            await search_whole(cluster, caller_side)
+            await search_whole(cluster, coordinator)
             cluster.network.silent.add(silent.name)
-            assert (await search_whole(cluster, caller_side)).is_whole
-            # The next query does not lose half of its time on the same host again.
+            assert (await search_whole(cluster, coordinator)).is_whole
+            # The next query does not try the paused host again.
             started = trio.current_time()
-            assert (await search_whole(cluster, caller_side)).is_whole
+            assert (await search_whole(cluster, coordinator)).is_whole
             assert trio.current_time() - started < 0.05
             nursery.cancel_scope.cancel()
 
     async def test_own_stall_is_not_blamed_on_an_owner(self, autojump_clock):
-        # The coordinator's process stands still for 130 ms, as on a busy machine.
-        # When it goes on, all its timers are due at once and the owners' answers lie
-        # unread. It reads them; it neither passes owners over nor asks others.
+        # After a pause of this process its timers are due while the owners' answers
+        # lie unread. It must read them, rather than give the owners up.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
             node = cluster.nodes[0]
@@ -113,32 +108,31 @@
             nursery.cancel_scope.cancel()
 
     async def test_owner_that_refuses_channels_is_bypassed(self, autojump_clock):
-        # An owner has died and membership does not know yet. Its address refuses
-        # connections; the caller notices nothing.
+        # An owner has died, and membership still lists it. Its address refuses
+        # connections, and the answer is whole all the same.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
-            caller_side, *others = cluster.nodes
+            coordinator, *others = cluster.nodes
             dead = max(others, key=cluster.count_owned)
             cluster.network.refusing.add(dead.name)
-            assert (await search_whole(cluster, caller_side)).is_whole
+            assert (await search_whole(cluster, coordinator)).is_whole
             nursery.cancel_scope.cancel()
 
     async def test_stopping_owner_hands_its_shards_on(self, autojump_clock):
-        # A planned stop: the owner takes nothing new and says so. Its shards go to
-        # the next host; nothing is missing from the answer.
+        # An owner that is stopping refuses new calls. Its shards go to the next host,
+        # and the answer is whole.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
-            caller_side, *others = cluster.nodes
+            coordinator, *others = cluster.nodes
             max(others, key=cluster.count_owned).owner.stop()
-            assert (await search_whole(cluster, caller_side)).is_whole
+            assert (await search_whole(cluster, coordinator)).is_whole
             nursery.cancel_scope.cancel()
 
 
 class TestSnapshots:
     async def test_version_that_is_gone_is_never_mixed(self, autojump_clock):
-        # The library is repartitioned and version 1 dropped while the coordinator
-        # still pins it. The first round finds it gone; the answer comes whole from
-        # version 2 and its partition map, with no result of version 1 in it.
+        # Version 1 is dropped while the coordinator still pins it. The whole answer
+        # comes from version 2, without results of version 1.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
             node = cluster.nodes[0]
@@ -162,8 +156,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_shard_without_the_version_is_stated(self, autojump_clock):
-        # One group has no version that the others have, and nothing newer is
-        # published. The answer says which shard is missing and why.
+        # One group lacks the version of the others, and no newer one is published. The
+        # answer names the missing shard and the reason.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
             for server in cluster.service.groups[2].servers:
@@ -178,16 +172,16 @@
     """Return version 2: the same groups under other shard names, unequal shares."""
     shares = [0.5] + [0.5 / (len(old.shards) - 1)] * (len(old.shards) - 1)
     shards = tuple(
-        Shard(name=f"p{place}", group=shard.group, share=share)
-        for place, (shard, share) in enumerate(zip(old.shards, shares, strict=True))
+        Shard(name=f"p{number}", group=shard.group, share=share)
+        for number, (shard, share) in enumerate(zip(old.shards, shares, strict=True))
     )
     return Snapshot(service=old.service, version=2, shards=shards)
 
 
 class TestStragglers:
     async def test_straggler_is_given_up_cancelled_and_stated(self, autojump_clock):
-        # All replicas of one shard take far too long. The service prefers its tail:
-        # the answer leaves without the shard, says so, and frees its slots.
+        # All replicas of a shard are slow, and the policy prefers latency. The answer
+        # comes without the shard, which is reported missing and cancelled.
         async with trio.open_nursery() as nursery:
             policy = GiveUpStragglers(min_share=0.8, patience=2.0)
             cluster = Cluster(nursery=nursery, stragglers=policy)
@@ -203,8 +197,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_coverage_policy_waits_to_the_deadline(self, autojump_clock):
-        # The same shard, for a service to which coverage matters more: the answer
-        # waits for it, and at the deadline says that it is missing.
+        # A policy that prefers coverage waits for a slow shard, and reports it missing
+        # only at the deadline.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
             for server in cluster.service.groups[3].servers:
@@ -220,9 +214,8 @@
 
 class TestCallers:
     async def test_caller_that_leaves_frees_the_slots(self, autojump_clock):
-        # A caller closes its connection while its query runs. Whatever runs for it
-        # here and at other owners is cancelled, else the slots would stay busy for
-        # nobody.
+        # A caller disconnects while its query runs. Its calls are cancelled here and
+        # at other owners, or they would occupy slots for nobody.
         async with trio.open_nursery() as nursery:
             cluster = Cluster(nursery=nursery)
             for group in cluster.service.groups:
