--- a/src/lavendergap/entry/admission.py
+++ b/src/lavendergap/entry/admission.py
@@ -7,7 +7,7 @@
 
 # A query still waiting after this share of its time is refused. The rest would hardly
 # do for an answer, and the caller has time to retry elsewhere. It is a little more than
-# the wait that the gate expects for the queries that it admits.
+# the gate's own limit for the wait that it expects.
 MAX_WAIT_SHARE = 0.3
 TIMEOUT_RETRY_AFTER_MS = 500
 
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -109,7 +109,7 @@
         self._timers = timers
         self._timer = Timer(wake=self._advance)
         self._scope = trio.CancelScope()
-        self._start_counters = {
+        self._attempt_counters = {
             cause: metrics.attempts.labels(service.name, cause)
             for cause in ("first", "retry", "hedge")
         }
@@ -184,7 +184,7 @@
             match effect:
                 case StartAttempt():
                     starts.append(effect)
-                    self._start_counters[effect.cause].inc()
+                    self._attempt_counters[effect.cause].inc()
                     self._launch(effect)
                     if not is_in_plan or effect.cause != "first":
                         self._log_start(effect)
--- a/src/lavendergap/entry/quarantine.py
+++ b/src/lavendergap/entry/quarantine.py
@@ -35,7 +35,7 @@
 class QuarantineKeeper:
     """The strikes of all hosts, and whether requests are held back by them.
 
-    A strike records a request that crashed servers. `announce` sends one to the other
+    A strike records servers that crashed during a request. `announce` sends it to other
     hosts; `sweeps` returns whether this host is the one that removes expired strikes
     from the store. A request's content id is computed only while there are strikes, or
     when a server has crashed on the request.
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -614,7 +614,7 @@
         self._add_missing(shard, Reason.SERVER_ENDED, server, step=Step.RECEIVE)
 
     def _cancel_open(self) -> None:
-        """Cancel all open calls, as nobody waits for them any more."""
+        """Cancel all open calls, whose results are no longer needed."""
         for sub_query in self._sub_queries:
             if not sub_query.open_shards:
                 continue
