--- a/src/lavendergap/entry/__init__.py
+++ b/src/lavendergap/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon on an entry host: wires transport, protocol and coordination together."""
+"""The daemon on an entry host; connects transport, protocol and coordination."""
--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -47,9 +47,9 @@
 
 # The balancer asks for readiness every second or so; until it has noticed, it still
 # sends callers here, and they are served.
-LEAVE_NOTICE = 3.0
-DRAIN_CHECK = 0.05
-SWEEP_INTERVAL = 1.0
+LEAVE_NOTICE_S = 3.0
+DRAIN_CHECK_INTERVAL_S = 0.05
+SWEEP_INTERVAL_S = 1.0
 
 
 def run_entry(settings: Settings, host: str, settings_path: str) -> None:
@@ -143,7 +143,7 @@
     async def _announce_ready(self) -> None:
         """Print `ready` once, for whoever started this process and waits."""
         while self._get_unready():
-            await trio.sleep(DRAIN_CHECK)
+            await trio.sleep(DRAIN_CHECK_INTERVAL_S)
         print("ready", flush=True)
 
     async def _gossip(self) -> None:
@@ -335,7 +335,7 @@
 
     def _get_status(self) -> HostStatus:
         now = trio.current_time()
-        in_force = self._keeper.describe()
+        active = self._keeper.describe()
         return HostStatus(
             host=self._own.name,
             data_centre=self._own.data_centre,
@@ -343,9 +343,9 @@
             state="leaving" if self._is_leaving else "live",
             unready=self._get_unready(),
             settings=SettingsStatus(
-                version=in_force.version,
-                source=in_force.source,
-                problem=in_force.problem,
+                version=active.version,
+                source=active.source,
+                problem=active.problem,
             ),
             members=[
                 MemberStatus(
@@ -373,7 +373,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await trio.sleep(SWEEP_INTERVAL)
+            await trio.sleep(SWEEP_INTERVAL_S)
             self._owner.close_unused()
             self._fleet.forgive(now=trio.current_time())
             self._count_dropped_lines()
@@ -403,13 +403,13 @@
         log_decision(logger, "leaving", request_id=None, host=self._own.name)
         self._acceptor.announce_leaving()
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
-        await trio.sleep(min(LEAVE_NOTICE, drain / 2))
+        await trio.sleep(min(LEAVE_NOTICE_S, drain / 2))
         with trio.move_on_after(drain):
             while self._callers.n_running or self._bookings.is_busy:
-                await trio.sleep(DRAIN_CHECK)
+                await trio.sleep(DRAIN_CHECK_INTERVAL_S)
             self._owner.stop()
             while self._owner.is_busy:
-                await trio.sleep(DRAIN_CHECK)
+                await trio.sleep(DRAIN_CHECK_INTERVAL_S)
             await self._bookings.hand_over()
             self._stop.set()
             await self._finish_callers()
@@ -421,6 +421,6 @@
     async def _finish_callers(self) -> None:
         """Wait for requests that came in while others were handed over."""
         while True:
-            await trio.sleep(DRAIN_CHECK)
+            await trio.sleep(DRAIN_CHECK_INTERVAL_S)
             if not self._callers.n_running:
                 return
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class InForce:
+class ActiveSettings:
     """What a process says of the settings it acts on."""
 
     version: int
@@ -116,10 +116,10 @@
             note_answer=self._note_answer,
         )
 
-    def describe(self) -> InForce:
+    def describe(self) -> ActiveSettings:
         """Return which settings are in force here, and what a newer one lacks."""
         held = self._documents.get(self._key)
-        return InForce(
+        return ActiveSettings(
             version=held.version if held else 0,
             source=held.source.value if held else Source.FILE.value,
             problem=self._describe_problem(),
--- a/src/lavendergap/entry/feedpeers.py
+++ b/src/lavendergap/entry/feedpeers.py
@@ -1,4 +1,4 @@
-"""Carries the feeds between hosts: news to all, and whole copies on demand."""
+"""Exchanges feeds between hosts: updates to all hosts, and copies on request."""
 
 from dataclasses import replace
 from random import Random
@@ -22,21 +22,21 @@
 from .fleet import Fleet
 
 N_HOLDERS = 2
-"""One to watch, and one that goes on when the first one is lost unnoticed."""
+"""The second one continues while the loss of the first one is not yet detected."""
 
-SETTLE_TIME = 3.0
-"""Seconds after a start in which a host watches for its data centre at most.
+STARTUP_TIME_S = 3.0
+"""How long after its start a host watches only for its data centre.
 
-It does not know the fleet yet: when 77 hosts started together, most took themselves
-for a holder and opened channels to all whom they knew; 6,514 greetings were sent.
+Its list of members is incomplete until then: when all hosts start together, most would
+take themselves for watch holders and open channels to all hosts they have found.
 """
 
-FETCH_LIMIT = 1.0
-"""Seconds for a peer's whole copy; another one is asked after it."""
+FETCH_TIMEOUT_S = 1.0
+"""Timeout of a request for a peer's copy; a later request may ask another peer."""
 
 
 class FeedChannels:
-    """The other hosts, as the readers of this host's feeds see them."""
+    """Implements `FeedPeers` over the channels to the other hosts."""
 
     def __init__(
         self,
@@ -54,64 +54,65 @@
         self._dialer = dialer
         self._nursery = nursery
         self._random = random
-        self._settles_at = trio.current_time() + SETTLE_TIME
+        self._startup_ends_at = trio.current_time() + STARTUP_TIME_S
 
     def get_holder_rank(self) -> int | None:
-        """Return this host's place among those that watch the store for all."""
-        if not self.is_settled() and not self._is_alone():
+        """Return this host's rank among the watch holders, from 0, or None."""
+        if not self.is_past_startup() and not self._is_alone():
             return None
         holders = choose_watch_holders(self._membership.members(), N_HOLDERS)
         if self._own_name not in holders:
             return None
         return holders.index(self._own_name)
 
-    def leads_place(self) -> bool:
-        """Tell whether this host watches the store for its data centre alone."""
-        if self.is_settled() or not self._membership.joined:
+    def leads_data_centre(self) -> bool:
+        """Return whether this host watches for its data centre during startup."""
+        if self.is_past_startup() or not self._membership.joined:
             return False
         return leads_place(self._own_name, self._membership.places())
 
-    def announce(self, news: FeedNews) -> None:
-        """Send news to all live hosts; who is missed gets the next, or asks.
+    def announce(self, update: FeedNews) -> None:
+        """Send an update to all live hosts, without acknowledgement.
 
-        A host that has just started sends to its own data centre, if it leads it.
+        A host that misses it gets the next one, or asks the store itself. A host that
+        has just started sends only to its data centre, and only if it watches for it.
         """
-        if not self.is_settled():
-            if self.leads_place():
-                self.pass_on(news)
+        if not self.is_past_startup():
+            if self.leads_data_centre():
+                self.relay(update)
             return
-        near = _shorten(news, is_whole=may_stay(news.changes))
-        far = _shorten(news, is_whole=may_cross(news.changes))
+        near = _strip_changes(update, is_whole=may_stay(update.changes))
+        far = _strip_changes(update, is_whole=may_cross(update.changes))
         for receiver in choose_receivers(
             self._own_name,
             self._membership.places(),
-            is_relayed=are_long(news.changes),
+            is_relayed=are_long(update.changes),
         ):
             message = near if receiver.is_near else far
             self._send(receiver.host, replace(message, passes_on=receiver.passes_on))
 
-    def pass_on(self, news: FeedNews) -> None:
-        """Relay news to the other hosts of this data centre."""
-        message = _shorten(news, is_whole=may_stay(news.changes))
+    def relay(self, update: FeedNews) -> None:
+        """Forward an update to the other hosts of this data centre."""
+        message = _strip_changes(update, is_whole=may_stay(update.changes))
         message = replace(message, passes_on=False)
         for host in list_neighbours(self._own_name, self._membership.places()):
             self._send(host, message)
 
     def is_near(self, host: str) -> bool:
-        """Tell whether `host` is in the data centre of this one."""
+        """Return whether `host` is in the data centre of this one."""
         member = self._membership.get(host)
         own = self._membership.own
         return member is not None and member.data_centre == own.data_centre
 
     def announce_strike(self, strike: Strike) -> None:
-        """Tell all live hosts of a strike, ahead of the store."""
+        """Send a strike to all live hosts, without waiting for the store."""
         places = self._membership.places()
         for receiver in choose_receivers(self._own_name, places):
             struck = Struck(strike=strike, passes_on=receiver.passes_on)
             self._send(receiver.host, struck)
 
-    def pass_on_strike(self, strike: Strike) -> None:
-        """Tell the other hosts of this data centre of another host's strike."""
+    def relay_strike(self, strike: Strike) -> None:
+        """Forward another host's strike to the other hosts of this data centre."""
         for host in list_neighbours(self._own_name, self._membership.places()):
             self._send(host, Struck(strike=strike, passes_on=False))
 
@@ -133,9 +134,9 @@
     async def fetch(
         self, feed: str, host: str | None, *, hashes: tuple[int, ...] = ()
     ) -> FeedState | None:
-        """Return a feed as `host` has it, or any live one; None without an answer.
+        """Return the copy of `host`, or of any live host; None without an answer.
 
-        One of this data centre, if there is one: bytes between them are paid for.
+        Prefers hosts of this data centre, as traffic between data centres costs money.
         """
         others = self._list_others()
         if host is None and others:
@@ -148,24 +149,24 @@
         if isinstance(channel, Loss):
             return None
         reply = await channel.ask(
-            FeedFetch(feed=feed, hashes=hashes), limit=FETCH_LIMIT
+            FeedFetch(feed=feed, hashes=hashes), limit=FETCH_TIMEOUT_S
         )
         if isinstance(reply, FeedState) and reply.feed == feed:
             return reply
         return None
 
-    def is_settled(self) -> bool:
-        """Tell whether this host has run for long enough to know the others."""
-        return trio.current_time() >= self._settles_at
+    def is_past_startup(self) -> bool:
+        """Return whether this host has run long enough to have found the others."""
+        return trio.current_time() >= self._startup_ends_at
 
     def _is_alone(self) -> bool:
-        """Tell whether this host has looked for others and found none."""
+        """Return whether this host has looked for other hosts and found none."""
         return self._membership.joined and not self._list_others()
 
     def _list_others(self) -> list[str]:
         return sorted(self._membership.live() - {self._own_name})
 
 
-def _shorten(news: FeedNews, *, is_whole: bool) -> FeedNews:
-    """Return news as they are, or the word that there is something newer."""
-    return news if is_whole else replace(news, base=news.revision, changes=())
+def _strip_changes(update: FeedNews, *, is_whole: bool) -> FeedNews:
+    """Return the update, or one without changes that announces its revision only."""
+    return update if is_whole else replace(update, base=update.revision, changes=())
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -1,9 +1,10 @@
 """Keeps this host's copy of the store's feeds up to date, from the store or a peer.
 
-Two hosts, the holders, watch the store for all. Whoever has an answer of the store
-announces to all others what changed, or that nothing did. A host without announcements
-for a while asks the store itself, and announces its answer: so the feeds go on
-when both holders are gone, and reach a host that the store turns away.
+Two hosts, the watch holders, watch the store for all hosts. A host that gets an answer
+from the store announces to all others what has changed, or that nothing has. A host
+that receives no announcements for a while asks the store itself and announces the
+answer, so updates continue when both holders are down, and also reach hosts that the
+store refuses.
 """
 
 from collections.abc import Callable, Mapping
@@ -31,45 +32,45 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class FeedPace:
-    """How soon a feed's changes have to be known everywhere, in seconds.
+class FeedTiming:
+    """How soon a feed's changes have to reach all hosts.
 
-    `watch_wait` is how long a holder's watch waits: how often it is announced that
-    nothing has changed, and how long a connection gone silent hides what has. A host
-    without news for `stale_after`, which is more, asks the store itself.
+    `watch_wait_s` is the duration of a holder's long poll: how often it announces that
+    nothing has changed, and for how long a silent connection can hide a change. A host
+    without an update for `stale_after_s`, which is longer, asks the store itself.
     """
 
-    watch_wait: float
-    stale_after: float
-
-
-# Soon enough to act on a change within the 3 s that a leaving server goes on serving.
-PROMPT = FeedPace(watch_wait=1.5, stale_after=2.1)
-# Changes are announced as they come at any pace; this is for feeds of which a host
-# may lack the last for some seconds, when its news were lost.
-EASY = FeedPace(watch_wait=4.0, stale_after=5.6)
-# Not all at once: the first one's answer saves the others theirs.
-STALE_JITTER = 0.25
-# The same for a host that has just started and watches for its data centre: longer,
-# since one in each pays a call for it. The others look this often whether it is theirs
-# to watch.
-SETTLING_PAUSE = 0.4
-# After news, a holder waits so long, in seconds, before it watches again: what
-# changes together, as when servers are replaced, then shares one call of each holder.
-GATHER_PAUSE = 0.15
-# Between failed calls, in seconds: the first is often a lost connection, and the
-# store bounds all hosts' calls together.
-FIRST_RETRY = 0.1
-LONGEST_RETRY = 1.0
-# Servers are back in the store this long after its return, in seconds, if they live;
-# the platform says two, and a heartbeat may be under way.
-LAPSE_GRACE = 2.2
-
-# The second holder announces so much later, in seconds, and only that there is
-# something newer: who has it from the first one by then needs nothing more.
-SECOND_DELAY = 0.3
-
-UseEntries = Callable[[Mapping[str, bytes], int], None]
+    watch_wait_s: float
+    stale_after_s: float
+
+
+# Fast enough to act on a change within the 3 s that a leaving server goes on serving.
+FAST_TIMING = FeedTiming(watch_wait_s=1.5, stale_after_s=2.1)
+# Changes are announced at once with either timing. This one is for feeds where a host
+# that missed an announcement may be some seconds behind.
+RELAXED_TIMING = FeedTiming(watch_wait_s=4.0, stale_after_s=5.6)
+# Added to the delay, so that the first host to ask spares the others their calls.
+STALE_JITTER_SHARE = 0.25
+# After a change, a host that watches for its data centre during startup waits this long
+# before it watches again. The other starting hosts check this often whether they are
+# the one to watch.
+STARTUP_PAUSE_S = 0.4
+# After a change, a holder waits this long before it watches again, so that changes that
+# come together, as when servers are replaced, take one call of each holder.
+BATCHING_PAUSE_S = 0.15
+# The first failure is often a lost connection; later ones back off, since the store
+# limits the calls of all hosts together.
+FIRST_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 1.0
+# After an outage of the store, live servers register again within this time: two
+# seconds by the platform's rules, and the delay of a heartbeat.
+LAPSE_GRACE_S = 2.2
+
+# The second holder announces this much later, and without the changes: a host that has
+# them from the first holder by then needs nothing more.
+SECOND_HOLDER_DELAY_S = 0.3
+
+OnChange = Callable[[Mapping[str, bytes], int], None]
 
 
 def _do_nothing() -> None:
@@ -77,36 +78,37 @@
 
 
 class FeedPeers(Protocol):
-    """What a feed's reader needs of the other hosts. Nothing here raises."""
+    """The operations on other hosts that a feed reader uses. None of them raises."""
 
     def get_holder_rank(self) -> int | None:
-        """Return this host's place among the holders, 0 for the first, or None."""
+        """Return this host's rank among the watch holders, from 0, or None."""
 
-    def is_settled(self) -> bool:
-        """Tell whether this host has run for long enough to know the others."""
+    def is_past_startup(self) -> bool:
+        """Return whether this host has run long enough to have found the others."""
 
-    def leads_place(self) -> bool:
-        """Tell whether this host, as it does not know the others yet, watches for those
-        of its data centre.
-        """
+    def leads_data_centre(self) -> bool:
+        """Return whether this host watches for its data centre during startup."""
 
     def is_near(self, host: str) -> bool:
-        """Tell whether `host` is in the data centre of this one."""
+        """Return whether `host` is in the data centre of this one."""
 
-    def announce(self, news: FeedNews) -> None:
-        """Send news to all live hosts, or to those that this host watches for."""
+    def announce(self, update: FeedNews) -> None:
+        """Send an update to all live hosts, or to those that this host watches for."""
 
     async def fetch(
         self, feed: str, host: str | None, *, hashes: tuple[int, ...] = ()
     ) -> FeedState | None:
-        """Return a feed as `host` has it, or any live one; None without an answer.
+        """Return the copy of `host`, or of any live host; None without an answer.
 
-        With `hashes`, those of this host's buckets, only what differs.
+        With `hashes`, the hashes of this host's buckets, only buckets that differ.
         """
 
 
 class FeedReader:
-    """One feed's copy; `use` gets the entries whenever they change."""
+    """Keeps the copy of one feed.
+
+    `on_change` is called with the entries and their revision whenever they change.
+    """
 
     def __init__(
         self,
@@ -114,31 +116,31 @@
         feed: str,
         source: FeedSource,
         peers: FeedPeers,
-        use: UseEntries,
+        on_change: OnChange,
         summarize: Summarize,
         random: Random,
         nursery: trio.Nursery,
-        pace: FeedPace = PROMPT,
+        timing: FeedTiming = FAST_TIMING,
     ) -> None:
         self.feed = feed
-        self._pace = pace
-        self.copy = FeedCopy(lapse_grace=LAPSE_GRACE, summarize=summarize)
-        self.is_listed = False
+        self._timing = timing
+        self.copy = FeedCopy(lapse_grace=LAPSE_GRACE_S, summarize=summarize)
+        self.is_loaded = False
         self._source = source
         self._peers = peers
-        self._use = use
+        self._on_change = on_change
         self._random = random
         self._nursery = nursery
         self._n_failures = 0
         self._confirmed_at = trio.current_time()
-        self._is_fetching = False
+        self._is_catching_up = False
 
     async def run(self) -> None:
         """Read until cancelled."""
-        self._nursery.start_soon(self._settle)
-        # All hosts may start together: a copy that lags costs the store a tenth, and
-        # the first news, or else a watch after some 2 s, show what it lacks. After a
-        # history was lost it may be older than what the store still remembers.
+        self._nursery.start_soon(self._drop_lapsed)
+        # When all hosts start together, reading a lagging replica is far cheaper for
+        # the store, and the next update or watch shows what is missing. After the
+        # history is gone, a replica may be older than the store's remaining history.
         may_lag = True
         while True:
             await self._list(may_lag=may_lag)
@@ -148,55 +150,59 @@
     # From the store.
 
     async def _list(self, *, may_lag: bool) -> None:
-        """List the feed, or take it of a peer while the store does not answer."""
+        """List the feed, or fetch it from a peer while the store does not answer."""
         while True:
             match await self._source.list_feed(self.feed, may_lag=may_lag):
                 case FeedListing() as listing:
-                    self._note_answer()
+                    self._record_answer()
                     before = self.copy.revision
-                    has_changed = self._take_listing(listing, "store")
+                    has_changed = self._apply_listing(listing, "store")
                     if not may_lag:
-                        # The others fetch what the lost history kept from this host.
+                        # The others fetch what this host missed with the history.
                         base = self.copy.revision if has_changed else before
                         self._announce(base=base, changes=())
                     return
                 case StoreLost() as lost:
-                    await self._note_loss(lost)
-                    if not self.is_listed:
+                    await self._record_loss(lost)
+                    if not self.is_loaded:
                         await self._fetch(None)
-                    if self.is_listed and not self.is_stale:
+                    if self.is_loaded and not self.is_stale:
                         return
 
     async def _follow(self) -> None:
-        """Watch, or wait for announcements, until the history is gone."""
+        """Watch the feed, or wait for announcements, until its history is gone."""
         while True:
             rank = self._peers.get_holder_rank()
-            is_settling = not self._peers.is_settled()
-            # When all hosts come back with the store, the servers register again one
-            # by one, and nobody watches for all yet. Asking once each 2.1 s, hosts
-            # had 25 to 60 of 78 servers for two seconds and refused a third of all;
-            # each watching for itself, 195 hosts made 1,900 calls.
-            is_leading = rank is None and is_settling and self._peers.leads_place()
+            is_starting = not self._peers.is_past_startup()
+            # When all hosts restart with the store, servers register again one by one
+            # before the watch holders are chosen. Waiting until the copy is stale would
+            # leave hosts without many servers and refuse requests; a watch by each host
+            # would overload the store. So one host of each data centre watches.
+            is_leading = (
+                rank is None and is_starting and self._peers.leads_data_centre()
+            )
             is_watching = rank is not None or is_leading
             if not is_watching and not self.is_stale:
-                await self._wait_for_news(is_settling)
+                await self._wait_for_news(is_starting)
                 continue
             base = self.copy.revision
-            wait = self._pace.watch_wait if is_watching else 0.0
+            wait = self._timing.watch_wait_s if is_watching else 0.0
             match await self._source.watch_feed(self.feed, after=base, wait_s=wait):
                 case FeedChanges() as changes:
-                    self._note_answer()
-                    news = self._pick_news(changes.changes)
+                    self._record_answer()
+                    relevant = self._select_relevant(changes.changes)
                     if self.copy.take_changes(changes, now=trio.current_time()):
-                        self._put_in_force("store")
-                    if news and rank == 1:
-                        await trio.sleep(SECOND_DELAY)
-                        base, news = self.copy.revision, ()
-                    self._announce(base=base, changes=news)
+                        self._report_change("store")
+                    if relevant and rank == 1:
+                        await trio.sleep(SECOND_HOLDER_DELAY_S)
+                        base, relevant = self.copy.revision, ()
+                    self._announce(base=base, changes=relevant)
                     if changes.changes:
-                        await trio.sleep(SETTLING_PAUSE if is_leading else GATHER_PAUSE)
+                        await trio.sleep(
+                            STARTUP_PAUSE_S if is_leading else BATCHING_PAUSE_S
+                        )
                 case HistoryGone():
-                    self._note_answer()
+                    self._record_answer()
                     log_decision(
                         logger,
                         "history gone",
@@ -206,20 +212,22 @@
                     )
                     return
                 case StoreLost() as lost:
-                    await self._note_loss(lost)
+                    await self._record_loss(lost)
 
-    async def _wait_for_news(self, is_settling: bool) -> None:
-        """Wait until news are overdue, or this host may have to watch by itself."""
-        until = self._confirmed_at + self._draw_patience()
-        if is_settling:
-            until = min(until, trio.current_time() + SETTLING_PAUSE)
+    async def _wait_for_news(self, is_starting: bool) -> None:
+        """Wait until an update is overdue, or this host may have to watch itself."""
+        until = self._confirmed_at + self._draw_stale_delay()
+        if is_starting:
+            until = min(until, trio.current_time() + STARTUP_PAUSE_S)
         await trio.sleep_until(until)
 
-    def _pick_news(self, changes: tuple[FeedChange, ...]) -> tuple[FeedChange, ...]:
-        """Leave out what changes nothing that matters.
+    def _select_relevant(
+        self, changes: tuple[FeedChange, ...]
+    ) -> tuple[FeedChange, ...]:
+        """Return the changes without those that change nothing in the summary.
 
-        Servers write how much longer they are slow with each heartbeat after their
-        start, which would be some thousand announcements of nothing in a large fleet.
+        A server that warms up writes its remaining time with each heartbeat; in a large
+        fleet these would be thousands of needless announcements.
         """
         removed = {change.name for change in changes if change.body is None}
         return tuple(
@@ -230,12 +238,12 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether nobody has confirmed the copy for longer than is usual."""
-        return trio.current_time() - self._confirmed_at >= self._pace.stale_after
+        """Whether the store or a peer last confirmed the copy too long ago."""
+        return trio.current_time() - self._confirmed_at >= self._timing.stale_after_s
 
-    def _draw_patience(self) -> float:
-        jitter = STALE_JITTER * self._random.random()
-        return self._pace.stale_after * (1.0 + jitter)
+    def _draw_stale_delay(self) -> float:
+        jitter = STALE_JITTER_SHARE * self._random.random()
+        return self._timing.stale_after_s * (1.0 + jitter)
 
     def _announce(self, *, base: int, changes: tuple[FeedChange, ...]) -> None:
         self._peers.announce(
@@ -248,7 +256,7 @@
             )
         )
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         now = trio.current_time()
         if self._n_failures:
             log_decision(
@@ -263,7 +271,7 @@
         self._n_failures = 0
         self._confirmed_at = now
 
-    async def _note_loss(self, lost: StoreLost) -> None:
+    async def _record_loss(self, lost: StoreLost) -> None:
         self._n_failures += 1
         metrics.store_losses.labels(self.feed, lost.reason.value).inc()
         if self._n_failures == 1:
@@ -276,112 +284,118 @@
                 reason=lost.reason.value,
                 revision=self.copy.revision,
             )
-        pause = min(LONGEST_RETRY, FIRST_RETRY * 2.0 ** (self._n_failures - 1))
+        pause = min(
+            MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2.0 ** (self._n_failures - 1)
+        )
         pause = max(pause * self._random.uniform(0.7, 1.3), lost.retry_after_s)
-        await trio.sleep(min(pause, LONGEST_RETRY * 1.3))
+        await trio.sleep(min(pause, MAX_RETRY_DELAY_S * 1.3))
 
     # From peers.
 
     def receive(
-        self, news: FeedNews, *, host: str, then: Callable[[], None] = _do_nothing
+        self,
+        update: FeedNews,
+        *,
+        host: str,
+        on_applied: Callable[[], None] = _do_nothing,
     ) -> None:
-        """Take news of the store that another host had.
+        """Apply an update that another host has announced.
 
-        `then` is called at once where news hold what has changed, and else once this
-        copy holds it, or cannot be brought to: a relay passes news on then, so that
-        its neighbours can ask it for what the news lack.
+        `on_applied` is called at once when the update contains the changes, otherwise
+        once this copy has them or the attempt to get them has failed. A relay forwards
+        the update then, so that its neighbours can fetch from it what is missing.
         """
-        if self._take_news(news, host):
-            then()
+        if self._apply_update(update, host):
+            on_applied()
             return
-        if news.changes or self._is_fetching:
-            then()
-            then = _do_nothing
-        if not self._is_fetching:
-            self._is_fetching = True
-            self._nursery.start_soon(self._catch_up, news, host, then)
-
-    def _take_news(self, news: FeedNews, host: str) -> bool:
-        """Apply what news hold; return whether nothing of it is lacking now."""
-        if not self.is_listed:
+        if update.changes or self._is_catching_up:
+            on_applied()
+            on_applied = _do_nothing
+        if not self._is_catching_up:
+            self._is_catching_up = True
+            self._nursery.start_soon(self._catch_up, update, host, on_applied)
+
+    def _apply_update(self, update: FeedNews, host: str) -> bool:
+        """Apply an update; return whether the copy needs nothing more from it."""
+        if not self.is_loaded:
             return False
         now = trio.current_time()
         copy = self.copy
         if self.is_stale:
-            # Nobody had an answer of the store for a while: what vanishes now may
-            # have lapsed meanwhile.
+            # No host had an answer of the store for a while: entries removed now may
+            # have lapsed during an outage.
             copy.note_return(now=now)
-        is_older = news.revision < copy.revision
-        changes = () if is_older else news.changes
-        is_equal = copy.foresee(changes) == news.fingerprint
-        if is_older and not is_equal:
-            return True  # Its host lags behind this one, and confirms nothing.
-        if is_equal or copy.revision >= news.base:
-            announced = FeedChanges(revision=news.revision, changes=changes)
+        is_outdated = update.revision < copy.revision
+        changes = () if is_outdated else update.changes
+        is_equal = copy.foresee(changes) == update.fingerprint
+        if is_outdated and not is_equal:
+            return True  # The sender lags behind this host and confirms nothing.
+        if is_equal or copy.revision >= update.base:
+            announced = FeedChanges(revision=update.revision, changes=changes)
             if copy.take_changes(announced, now=now):
-                self._put_in_force(host)
+                self._report_change(host)
         if is_equal:
-            # By revisions alone every host that had read the feed before or after
-            # the holder would ask the store itself, again and again.
-            copy.adopt(news.revision)
+            # Hosts that listed the feed at another revision than the holder have the
+            # same entries; comparing revisions, they would keep asking the store.
+            copy.adopt(update.revision)
             self._confirmed_at = now
         return is_equal
 
     async def _catch_up(
-        self, news: FeedNews, host: str, then: Callable[[], None]
+        self, update: FeedNews, host: str, on_applied: Callable[[], None]
     ) -> None:
-        """Take what news did not hold: from their sender if it is near, which costs
-        nothing, else from the store, and from a far sender last.
+        """Get what an update lacks: from a near sender, the store, then a far sender.
 
-        Were it the store first, each change of the routes was a call of each host.
+        A near sender comes first, as traffic within a data centre is free and each
+        change of the routes would otherwise cost a call to the store by every host.
         """
         try:
             is_near = self._peers.is_near(host)
             if is_near:
                 await self._fetch(host)
-                if self._matches(news):
+                if self._matches(update):
                     return
-            if self.is_listed and await self._ask_store(news):
+            if self.is_loaded and await self._ask_store(update):
                 return
-            # Away, its history gone, or about to be: then it says that nothing has
-            # changed, though the sender knows better.
+            # The store is down or its history is gone. Just before it drops its
+            # history, it also reports no change when there is one.
             if not is_near:
                 await self._fetch(host)
         finally:
-            self._is_fetching = False
-            then()
+            self._is_catching_up = False
+            on_applied()
 
-    async def _ask_store(self, news: FeedNews) -> bool:
-        """Take what the store has newer; return whether it is what was announced."""
+    async def _ask_store(self, update: FeedNews) -> bool:
+        """Apply newer changes of the store; return whether they match the update."""
         base = self.copy.revision
         answer = await self._source.watch_feed(self.feed, after=base, wait_s=0.0)
         if not isinstance(answer, FeedChanges):
             return False
         self._confirmed_at = trio.current_time()
         if self.copy.take_changes(answer, now=self._confirmed_at):
-            self._put_in_force("store")
-        return self._matches(news)
+            self._report_change("store")
+        return self._matches(update)
 
-    def _matches(self, news: FeedNews) -> bool:
+    def _matches(self, update: FeedNews) -> bool:
         copy = self.copy
-        return copy.revision > news.revision or copy.fingerprint == news.fingerprint
+        return copy.revision > update.revision or copy.fingerprint == update.fingerprint
 
     async def _fetch(self, host: str | None) -> None:
-        hashes = self.copy.bucket_hashes if self.is_listed else ()
+        hashes = self.copy.bucket_hashes if self.is_loaded else ()
         state = await self._peers.fetch(self.feed, host, hashes=hashes)
         if state is None or state.revision <= self.copy.revision:
             return
-        if state.buckets is not None and not self.is_listed:
+        if state.buckets is not None and not self.is_loaded:
             return
         self._confirmed_at = trio.current_time()
         listing = FeedListing(revision=state.revision, entries=state.entries)
-        self._take_listing(listing, host or "a peer", buckets=state.buckets)
+        self._apply_listing(listing, host or "a peer", buckets=state.buckets)
 
-    def describe(self, hashes: tuple[int, ...] = ()) -> FeedState:
-        """Return the copy for a peer, or what differs from that of `hashes`.
+    def make_state(self, hashes: tuple[int, ...] = ()) -> FeedState:
+        """Return the copy for a peer, or only the buckets that differ from `hashes`.
 
-        A peer that has nothing yet also gets the lapsed entries that are still kept:
-        without them it would have no server for a while after an outage.
+        A peer that has no copy yet also gets the lapsed entries that are still kept;
+        without them it would have no servers for a while after an outage.
         """
         copy = self.copy
         if len(hashes) != N_BUCKETS:
@@ -397,9 +411,9 @@
             buckets=tuple(sorted(buckets)),
         )
 
-    # In force.
+    # Changes of the copy.
 
-    def _take_listing(
+    def _apply_listing(
         self,
         listing: FeedListing,
         source: str,
@@ -407,22 +421,22 @@
     ) -> bool:
         now = trio.current_time()
         has_changed = self.copy.take_listing(listing, now=now, buckets=buckets)
-        if has_changed or not self.is_listed:
-            self.is_listed = True
-            self._put_in_force(source)
+        if has_changed or not self.is_loaded:
+            self.is_loaded = True
+            self._report_change(source)
         return has_changed
 
-    async def _settle(self) -> None:
+    async def _drop_lapsed(self) -> None:
         while True:
             due = self.copy.next_due
             now = trio.current_time()
             if due is not None and due <= now:
                 if self.copy.settle(now=now):
-                    self._put_in_force("lapse")
+                    self._report_change("lapse")
                 continue
-            await trio.sleep(LAPSE_GRACE / 4 if due is None else due - now)
+            await trio.sleep(LAPSE_GRACE_S / 4 if due is None else due - now)
 
-    def _put_in_force(self, source: str) -> None:
+    def _report_change(self, source: str) -> None:
         log_decision(
             logger,
             "feed changed",
@@ -432,4 +446,4 @@
             n_entries=len(self.copy.entries),
             source=source,
         )
-        self._use(self.copy.entries, self.copy.revision)
+        self._on_change(self.copy.entries, self.copy.revision)
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -1,4 +1,4 @@
-"""The daemon of a gateway host: starts its parts, and stops them without a cut."""
+"""The daemon of a gateway host: starts its components and stops them gracefully."""
 
 import functools
 import logging
@@ -41,7 +41,7 @@
 from .fleet import Fleet
 from .forwarding import Forwarder
 from .hostfeeds import HostFeeds
-from .inforce import InForce
+from .inforce import ActiveConfig
 from .livehosts import LiveHosts
 from .owner import Owner
 from .peers import PeerService
@@ -51,29 +51,29 @@
 
 logger = logging.getLogger("lavendergap.entry")
 
-# Hosts probe each other more often than the default: an owner that is gone costs the
-# queries of its groups a detour until it is known, and these fleets are small.
+# Hosts probe each other more often than by default: until a lost owner is detected, the
+# queries of its groups take a detour. These fleets are small enough to afford it.
 CONTROL = Control(
     probe_interval_ms=700,
     probe_timeout_ms=250,
     suspect_ms=2_000,
-    # Backend servers are not probed; this is how often idle connections are looked at.
+    # Interval of checks for idle connections; backend servers are not probed.
     server_probe_interval_ms=2_000,
     idle_connection_ms=10_000,
 )
-# Until the balancer has noticed it still sends callers here: it asks each second, and
-# takes a host out after two misses.
-LEAVE_NOTICE = 2.6
-# Of the time within which the process has to be gone, what is left for closing.
-STOP_RESERVE = 0.8
-DRAIN_CHECK = 0.05
-SWEEP_INTERVAL = 1.0
-# The settings file may change without a signal; it is looked at this often, seconds.
-FILE_CHECK = 2.0
+# The balancer checks readiness each second and removes a host after two failures; until
+# then it still sends callers here.
+LEAVE_NOTICE_S = 2.6
+# The part of `stop_within` that is reserved for closing the ports.
+STOP_RESERVE_S = 0.8
+DRAIN_CHECK_INTERVAL_S = 0.05
+SWEEP_INTERVAL_S = 1.0
+# The settings file may change without a signal.
+SETTINGS_FILE_CHECK_INTERVAL_S = 2.0
 
 
 class _Status(msgspec.Struct):
-    """What /status answers."""
+    """The response body of /status."""
 
     host: str
     data_centre: str
@@ -91,19 +91,19 @@
 
 
 class Gateway:
-    """One gateway process. `run` returns once it has stopped as planned."""
+    """One gateway process. `run` returns after a graceful stop."""
 
     def __init__(self, *, host: GatewayHost, path: Path, adapter: Adapter) -> None:
         self._host = host
         self._path = path
         self._adapter = adapter
         self._random = Random(secrets.randbits(64))
-        # Any number will do at first: a host that hears of an older process of its
-        # name under a higher one takes a number above that. The time of day would
+        # Starts at a random number: a host that receives a higher incarnation of its
+        # own name from an older process chooses one above it. Wall-clock time could
         # run backwards on hosts whose clock is stepped.
         self._incarnation = secrets.randbits(31)
         self._limits = PortLimits()
-        self._in_force = InForce(
+        self._active_config = ActiveConfig(
             adapter=adapter, apply=self._apply, data_centres=host.regions
         )
         self._placement = Placement(own_data_centre=host.data_centre)
@@ -173,7 +173,7 @@
         )
         nursery.start_soon(keep)
         nursery.start_soon(self._sweep)
-        nursery.start_soon(self._follow_file)
+        nursery.start_soon(self._poll_settings_file)
         await self._open_ports(nursery)
         log_decision(
             logger,
@@ -233,7 +233,7 @@
         )
         self._feeds = HostFeeds(
             adapter=self._adapter,
-            in_force=self._in_force,
+            active_config=self._active_config,
             quarantine=self._quarantine,
             channels=feed_peers,
             has_evacuations=host.bounds.evacuate is not None,
@@ -273,7 +273,7 @@
 
     async def _open_ports(self, nursery: trio.Nursery) -> None:
         handlers = GatewayHandlers(
-            get_routes=lambda: self._in_force.index,
+            get_routes=lambda: self._active_config.index,
             forward=self._forwarder.forward,
             is_leaving=lambda: self._is_leaving,
         )
@@ -290,12 +290,12 @@
                 app,
                 address,
                 stop=self._stop,
-                drain_limit=STOP_RESERVE,
+                drain_limit=STOP_RESERVE_S,
                 limits=self._limits,
             )
             await nursery.start(serve)
 
-    # Members.
+    # Membership.
 
     async def _gossip(self) -> None:
         self._membership.join(self._host.seeds)
@@ -308,12 +308,12 @@
         self._nursery.start_soon(self._endpoint.send, sends)
         self._endpoint.wake()
 
-    # Routes and servers in force.
+    # Active routes and servers.
 
     def _apply(self) -> None:
-        """Put what is believed in force for the groups that run here."""
-        index = self._in_force.index
-        if index is None or not self._feeds.knows_evacuations:
+        """Apply the current routes, servers and evacuations to the groups run here."""
+        index = self._active_config.index
+        if index is None or not self._feeds.has_evacuation_list:
             return
         limits = index.table.limits
         self._limits.idle_timeout = limits.idle_timeout_ms / 1_000
@@ -321,14 +321,14 @@
         bounds = self._host.bounds
         catalog = self._catalog = build_catalog(
             table=index.table,
-            servers=self._in_force.servers,
+            servers=self._active_config.servers,
             budget=ExtraCallBudget(
                 share=bounds.extra_call_share,
                 slack=bounds.extra_call_slack,
                 window_s=bounds.extra_call_window,
             ),
             n_hosts=max(1, len(self._membership.live())),
-            evacuated=self._in_force.evacuated,
+            evacuated=self._active_config.evacuated,
             warmup=WarmupBound(
                 factor=bounds.cold_rate_factor, slack=bounds.cold_rate_slack
             ),
@@ -346,35 +346,35 @@
         self._placement.replace_servers(catalog.places, catalog.sets)
 
     def _may_warm(self, group: str) -> bool:
-        """Tell whether this host sends to the cold servers of a group here.
+        """Return whether this host sends to a group's cold servers for its data centre.
 
-        One that has no fresh news of the servers may not: it may have been cut off,
-        and another host have taken over.
+        A host whose list of servers is stale may not: it may be partitioned, and
+        another host may have taken over.
         """
         is_first = self._placement.get_host_beside(group) == self._host.name
         return is_first and self._feeds.has_fresh_servers
 
-    # What others are told.
+    # Readiness and status.
 
     def _get_unready(self) -> str:
         if self._is_leaving:
             return "stopping"
-        if self._in_force.index is None:
+        if self._active_config.index is None:
             return "no routes from the store or a peer yet"
-        if unread := self._feeds.get_unread():
-            return unread
+        if missing := self._feeds.get_missing_feed():
+            return missing
         if not self._membership.joined:
             return "no peer has answered yet"
         return ""
 
     def _get_status(self) -> _Status:
-        index = self._in_force.index
+        index = self._active_config.index
         return _Status(
             host=self._host.name,
             data_centre=self._host.data_centre,
             unready=self._get_unready(),
             routes_version=index.table.version if index else 0,
-            n_servers=len(self._in_force.servers),
+            n_servers=len(self._active_config.servers),
             members=sorted(self._membership.live()),
         )
 
@@ -382,17 +382,17 @@
 
     async def _sweep(self) -> None:
         while True:
-            await trio.sleep(SWEEP_INTERVAL)
+            await trio.sleep(SWEEP_INTERVAL_S)
             self._owner.close_unused()
             self._fleet.forgive(now=trio.current_time())
 
-    async def _follow_file(self) -> None:
+    async def _poll_settings_file(self) -> None:
         while True:
-            await trio.sleep(FILE_CHECK)
+            await trio.sleep(SETTINGS_FILE_CHECK_INTERVAL_S)
             self._reload("file")
 
     def _reload(self, why: str) -> None:
-        """Read the settings file again; a damaged one leaves the old in force."""
+        """Read the settings file again; keep the old settings if it is invalid."""
         try:
             host = read_host_file(self._path)
         except SettingsError as error:
@@ -409,34 +409,34 @@
             why=why,
             has_changed=host != self._host,
         )
-        # Addresses stay for the life of the process; what binds it may change.
+        # Listening addresses stay for the life of the process; bounds and seeds change.
         self._host = host
         self._membership.join(host.seeds)
         self._apply()
 
     async def _leave(self) -> None:
-        """Stop without cutting a request.
+        """Stop gracefully, without interrupting a request.
 
-        First the balancer and the peers are told, and callers are served as before
-        until both have noticed. Then what runs is finished and the ports close.
+        Announces the stop to the balancer and the peers and serves callers until both
+        have noticed; then finishes running requests and closes the ports.
         """
-        stop_at = trio.current_time() + self._host.bounds.stop_within - STOP_RESERVE
+        stop_at = trio.current_time() + self._host.bounds.stop_within - STOP_RESERVE_S
         self._is_leaving = True
         log_decision(logger, "leaving", request_id=None, host=self._host.name)
         self._acceptor.announce_leaving()
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
-        await trio.sleep(min(LEAVE_NOTICE, self._host.bounds.stop_within / 2))
+        await trio.sleep(min(LEAVE_NOTICE_S, self._host.bounds.stop_within / 2))
         with trio.move_on_at(stop_at):
             while self._callers.n_running or self._owner.is_busy:
-                await trio.sleep(DRAIN_CHECK)
+                await trio.sleep(DRAIN_CHECK_INTERVAL_S)
         self._stop.set()
         await self._endpoint.send(self._membership.depart(now=trio.current_time()))
-        with trio.move_on_after(STOP_RESERVE / 2):
+        with trio.move_on_after(STOP_RESERVE_S / 2):
             while self._callers.n_running:
-                await trio.sleep(DRAIN_CHECK)
+                await trio.sleep(DRAIN_CHECK_INTERVAL_S)
         log_decision(logger, "stopped", request_id=None, host=self._host.name)
 
 
 async def _refuse_ticket(ask: TicketAsk) -> TicketReply:
-    """Answer an order about a ticket: gateway hosts issue none."""
+    """Return the reply to any ticket request: gateway hosts issue no tickets."""
     return TicketReply(verdict="unknown")
--- a/src/lavendergap/entry/hostfeeds.py
+++ b/src/lavendergap/entry/hostfeeds.py
@@ -1,4 +1,4 @@
-"""The feeds of a gateway host: their readers, and what peers exchange about them."""
+"""The feeds of a gateway host: their readers, and the exchange with peers."""
 
 from functools import partial
 from random import Random
@@ -15,23 +15,23 @@
     Adapter,
 )
 from .feedpeers import FeedChannels
-from .feeds import EASY, FeedReader
-from .inforce import InForce
+from .feeds import RELAXED_TIMING, FeedReader
+from .inforce import ActiveConfig
 from .quarantine import QuarantineKeeper
 
 
 class HostFeeds:
     """Reads routes, servers, evacuations and strikes, and exchanges them with peers.
 
-    `has_evacuations` says whether the platform has them; where it has none, reading
-    them would cost calls to the store for nothing.
+    `has_evacuations` says whether the platform supports evacuations. Where it does not,
+    reading the feed would be wasted calls to the store.
     """
 
     def __init__(
         self,
         *,
         adapter: Adapter,
-        in_force: InForce,
+        active_config: ActiveConfig,
         quarantine: QuarantineKeeper,
         channels: FeedChannels,
         has_evacuations: bool,
@@ -48,18 +48,18 @@
             nursery=nursery,
         )
         self._routes = make_reader(
-            feed=ROUTES_FEED, use=in_force.use_routes, summarize=use_whole
+            feed=ROUTES_FEED, on_change=active_config.use_routes, summarize=use_whole
         )
         self._servers = make_reader(
             feed=SERVERS_FEED,
-            use=in_force.use_servers,
-            summarize=in_force.summarize_server,
+            on_change=active_config.use_servers,
+            summarize=active_config.summarize_server,
         )
         self._strikes = make_reader(
             feed=STRIKES_FEED,
-            use=quarantine.use_entries,
+            on_change=quarantine.use_entries,
             summarize=use_whole,
-            pace=EASY,
+            timing=RELAXED_TIMING,
         )
         self._readers = {
             reader.feed: reader
@@ -69,7 +69,7 @@
         if has_evacuations:
             self._evacuations = make_reader(
                 feed=EVACUATIONS_FEED,
-                use=in_force.use_evacuations,
+                on_change=active_config.use_evacuations,
                 summarize=use_whole,
             )
             self._readers[EVACUATIONS_FEED] = self._evacuations
@@ -81,50 +81,52 @@
                 nursery.start_soon(reader.run)
 
     @property
-    def knows_evacuations(self) -> bool:
-        """Whether it is known which data centres get nothing.
+    def has_evacuation_list(self) -> bool:
+        """Whether the list of evacuated data centres has been read, if there is one.
 
-        Until then no server may be used: a host that has just started would send
-        callers' requests to servers that an operator is working on.
+        Before that no server may be used: a host that has just started would send
+        requests to servers in a data centre that an operator has evacuated.
         """
-        return self._evacuations is None or self._evacuations.is_listed
+        return self._evacuations is None or self._evacuations.is_loaded
 
     @property
     def has_fresh_servers(self) -> bool:
-        """Whether the servers were confirmed lately, by the store or a peer."""
-        return self._servers.is_listed and not self._servers.is_stale
+        """Whether the store or a peer has confirmed the servers recently."""
+        return self._servers.is_loaded and not self._servers.is_stale
 
-    def get_unread(self) -> str:
-        """Return what has not been read yet and a host cannot serve without, or ""."""
-        if not self._servers.is_listed:
+    def get_missing_feed(self) -> str:
+        """Return which feed this host still lacks to serve requests, or ""."""
+        if not self._servers.is_loaded:
             return "no servers from the store or a peer yet"
-        if not self.knows_evacuations:
+        if not self.has_evacuation_list:
             return "no evacuations from the store or a peer yet"
-        if not self._strikes.is_listed:
+        if not self._strikes.is_loaded:
             return "no held back requests from the store or a peer yet"
         return ""
 
     # Peers.
 
-    def receive(self, news: FeedNews, *, host: str) -> None:
-        """Apply a peer's news, and pass on what is for neighbours too."""
-        reader = self._readers.get(news.feed)
+    def receive(self, update: FeedNews, *, host: str) -> None:
+        """Apply a peer's update; forward it if it is for this data centre's hosts."""
+        reader = self._readers.get(update.feed)
         if reader is None:
             return
-        if news.passes_on:
-            reader.receive(news, host=host, then=partial(self._channels.pass_on, news))
+        if update.passes_on:
+            reader.receive(
+                update, host=host, on_applied=partial(self._channels.relay, update)
+            )
         else:
-            reader.receive(news, host=host)
+            reader.receive(update, host=host)
 
     def receive_strike(self, struck: Struck) -> None:
-        """Apply a peer's strike, and pass on what is for neighbours too."""
+        """Apply a peer's strike; forward it if it is for this data centre's hosts."""
         self._quarantine.receive(struck.strike)
         if struck.passes_on:
-            self._channels.pass_on_strike(struck.strike)
+            self._channels.relay_strike(struck.strike)
 
-    def describe(self, fetch: FeedFetch) -> FeedState:
-        """Return this host's copy of a feed; empty for one that it does not have."""
+    def make_state(self, fetch: FeedFetch) -> FeedState:
+        """Return this host's copy of a feed; an empty state for an unknown feed."""
         reader = self._readers.get(fetch.feed)
         if reader is None:
             return FeedState(feed=fetch.feed, revision=0, entries=())
-        return reader.describe(fetch.hashes)
+        return reader.make_state(fetch.hashes)
--- a/src/lavendergap/entry/inforce.py
+++ b/src/lavendergap/entry/inforce.py
@@ -1,4 +1,4 @@
-"""The routes, servers and evacuations that are in force on a gateway host."""
+"""The active routes, servers and evacuations of a gateway host."""
 
 from collections.abc import Callable, Collection, Mapping
 from functools import lru_cache
@@ -12,21 +12,20 @@
 logger = get_logger(Category.SETTINGS)
 
 
-MAX_SERVERS_READ = 4_096
-"""Entries of the registry that are kept as read: those in force, and some before them.
+MAX_CACHED_SERVERS = 4_096
+"""Size of the cache of parsed registry entries: the current and some earlier ones.
 
-A change of one server hands over all of them, and each is looked at for its hash, for
-whether it is news, and to put it in force.
+Each change passes on all entries, and each is read for its hash, for its comparison
+with the previous one and for use.
 """
 
 
-class InForce:
-    """What the feeds say now, in the product's words; `apply` acts on a change.
+class ActiveConfig:
+    """The parsed contents of the feeds; `apply` is called after each change.
 
-    A document that makes no sense leaves the routes before it in force, and so does an
-    older one: an operator's edit is never taken back by a copy that lags. An entry
-    that makes no sense is left out, and the others hold. `data_centres` are those that
-    may be evacuated; where it is empty, any may.
+    Invalid or older routes are ignored and the current ones stay active, so that a
+    lagging copy never reverts an operator's edit. An invalid server or evacuation entry
+    is skipped. `data_centres` are those that may be evacuated; empty means any.
     """
 
     def __init__(
@@ -41,13 +40,13 @@
         self.evacuated: frozenset[str] = frozenset()
         self._data_centres = data_centres
         self._refused_evacuations: set[str] = set()
-        self.read_server = lru_cache(maxsize=MAX_SERVERS_READ)(self._read_server)
+        self.read_server = lru_cache(maxsize=MAX_CACHED_SERVERS)(self._read_server)
         self._refused: set[str] = set()
         self._adapter = adapter
         self._apply = apply
 
     def use_routes(self, entries: Mapping[str, bytes], revision: int) -> None:
-        """Put the routes in a feed's entries in force, if they are newer."""
+        """Activate the routes in a feed's entries if their version is newer."""
         try:
             table = self._adapter.read_routes(entries)
         except ValueError as error:
@@ -76,7 +75,7 @@
         self._apply()
 
     def use_servers(self, entries: Mapping[str, bytes], revision: int) -> None:
-        """Put the servers in a feed's entries in force."""
+        """Activate the servers in a feed's entries."""
         servers = []
         refused = set()
         for name, body in entries.items():
@@ -92,7 +91,7 @@
         self._apply()
 
     def use_evacuations(self, entries: Mapping[str, bytes], revision: int) -> None:
-        """Put the evacuations in a feed's entries in force."""
+        """Activate the evacuations in a feed's entries."""
         evacuated = set()
         refused = set()
         for name, body in entries.items():
@@ -129,10 +128,10 @@
         )
 
     def summarize_server(self, name: str, body: bytes) -> object:
-        """Return what of an entry matters: nothing of one that is refused.
+        """Return the part of an entry that is compared to detect a change.
 
-        Whoever writes nonsense may write it often. Were each text of it another
-        entry, all hosts would be told of each.
+        All refused entries have the same summary. Otherwise a server that writes
+        changing invalid entries would cause an announcement to all hosts for each.
         """
         match self.read_server(name, body):
             case RegisteredServer() as server:
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -57,10 +57,10 @@
 class FeedService(Protocol):
     """The feeds of this host, where it has any."""
 
-    def receive(self, news: FeedNews, *, host: str) -> None:
-        """Take a peer's news."""
+    def receive(self, update: FeedNews, *, host: str) -> None:
+        """Take a peer's update."""
 
-    def describe(self, fetch: FeedFetch) -> FeedState:
+    def make_state(self, fetch: FeedFetch) -> FeedState:
         """Return this host's copy of a feed, or what of it differs."""
 
     def receive_strike(self, struck: Struck) -> None:
@@ -99,11 +99,11 @@
                 self._fetch(channel, frame.id, fetch)
             case TicketAsk() as ask:
                 self._nursery.start_soon(self._ticket, channel, frame.id, ask)
-            case FeedNews() as news if self._feeds is not None:
+            case FeedNews() as update if self._feeds is not None:
                 if channel.peer is not None:
-                    self._feeds.receive(news, host=channel.peer.host)
+                    self._feeds.receive(update, host=channel.peer.host)
             case FeedFetch() as fetch if self._feeds is not None:
-                state = self._feeds.describe(fetch)
+                state = self._feeds.make_state(fetch)
                 channel.send(Frame(id=frame.id, message=state))
             case Struck() as struck if self._feeds is not None:
                 self._feeds.receive_strike(struck)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -15,7 +15,7 @@
 from adapter.translation import KINDS, PlatformAdapter
 from lavendergap.coordination.feeds import FeedCopy
 from lavendergap.entry.adapter import SERVERS_FEED
-from lavendergap.entry.inforce import InForce
+from lavendergap.entry.inforce import ActiveConfig
 from lavendergap.state.feeds import FeedChange, FeedChanges, FeedListing
 from lavendergap.state.settings import Address
 from standins import objectstore
@@ -131,10 +131,10 @@
         assert isinstance(server.started_at_ms, int)
 
 
-def make_in_force() -> InForce:
+def make_in_force() -> ActiveConfig:
     # Only its way of reading servers is asked of the adapter here.
     adapter = PlatformAdapter.__new__(PlatformAdapter)
-    return InForce(adapter=adapter, apply=lambda: None)
+    return ActiveConfig(adapter=adapter, apply=lambda: None)
 
 
 class TestInForce:
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lavendergap.coordination.feeds import N_BUCKETS, FeedCopy
-from lavendergap.entry.feeds import LAPSE_GRACE, FeedReader
+from lavendergap.entry.feeds import LAPSE_GRACE_S, FeedReader
 from lavendergap.protocol.messages import FeedNews, FeedState
 from lavendergap.state.feeds import (
     FeedChange,
@@ -165,10 +165,10 @@
     def get_holder_rank(self) -> int | None:
         return self.rank
 
-    def is_settled(self) -> bool:
+    def is_past_startup(self) -> bool:
         return not self.is_settling
 
-    def leads_place(self) -> bool:
+    def leads_data_centre(self) -> bool:
         return self.is_settling and self.is_leading
 
     def is_near(self, host: str) -> bool:
@@ -192,7 +192,7 @@
         feed="servers",
         source=script,
         peers=peers or Peers(),
-        use=lambda entries, revision: told.append(dict(entries)),
+        on_change=lambda entries, revision: told.append(dict(entries)),
         summarize=summarize,
         random=Random(1),
         nursery=nursery,
@@ -227,7 +227,7 @@
             _, told = read(script, nursery)
             await trio.sleep(1.0)
             assert told == [{"a": b"1", "b": b"2"}]
-            await trio.sleep(LAPSE_GRACE)
+            await trio.sleep(LAPSE_GRACE_S)
             assert told[-1] == {"a": b"1"}
             nursery.cancel_scope.cancel()
 
@@ -352,7 +352,7 @@
             reader.receive(
                 tell(2, change(2), a="2"),
                 host="far",
-                then=lambda: passed_on.append(dict(reader.copy.entries)),
+                on_applied=lambda: passed_on.append(dict(reader.copy.entries)),
             )
             assert passed_on == []
             await trio.sleep(0.1)
@@ -360,7 +360,7 @@
             reader.receive(
                 tell(2, change(3, a="3"), a="3"),
                 host="far",
-                then=lambda: passed_on.append(dict(reader.copy.entries)),
+                on_applied=lambda: passed_on.append(dict(reader.copy.entries)),
             )
             assert passed_on[-1] == {"a": b"3"}
             nursery.cancel_scope.cancel()
@@ -378,7 +378,7 @@
             reader.receive(
                 tell(5, change(6, b="leaving"), a="2", b="leaving"),
                 host="far",
-                then=lambda: passed_on.append("news"),
+                on_applied=lambda: passed_on.append("news"),
             )
             assert passed_on == ["news"]
             await trio.sleep(1.0)
@@ -445,7 +445,7 @@
             )
             reader, told = read(script, nursery, peers)
             await trio.sleep(0.5)
-            assert reader.is_listed
+            assert reader.is_loaded
             assert told == [{"b": b"6"}]
             nursery.cancel_scope.cancel()
 
@@ -654,9 +654,9 @@
             reader, _ = read(Script(make_listing(2, a="1", b="2")), nursery)
             await trio.testing.wait_all_tasks_blocked()
             for hashes in ((), (1, 2)):
-                state = reader.describe(hashes)
+                state = reader.make_state(hashes)
                 assert (state.buckets, len(state.entries)) == (None, 2)
-            assert reader.describe((0,) * N_BUCKETS).buckets is not None
+            assert reader.make_state((0,) * N_BUCKETS).buckets is not None
             nursery.cancel_scope.cancel()
 
     def test_lapsed_entries_are_kept_by_each_host_for_itself(self):
