--- a/src/lavendergap/entry/adapter.py
+++ b/src/lavendergap/entry/adapter.py
@@ -1,4 +1,4 @@
-"""What the daemon of a gateway host needs of the platform that it runs on."""
+"""The interface between the daemon of a gateway host and its platform."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -18,46 +18,46 @@
 
 
 class StrikeStore(Protocol):
-    """Where strikes last longer than the host that saw them."""
+    """Stores strikes beyond the life of the host that recorded them."""
 
     async def write_strike(self, strike: Strike) -> bool:
-        """Keep a strike for all hosts; False when the store did not take it."""
+        """Store a strike for all hosts; return False when it was not accepted."""
 
     async def remove_strike(self, name: str) -> bool:
-        """Drop a strike for all hosts; False when the store may still hold it."""
+        """Remove a strike for all hosts; return False when it may still be stored."""
 
     def read_strike(self, name: str, body: bytes) -> Strike:
-        """Return a strike that is kept; raises ValueError where it makes no sense."""
+        """Return a stored strike; raise ValueError for an invalid entry."""
 
 
 class Adapter(StrikeStore, Protocol):
-    """What this daemon needs of the platform, in the product's own words."""
+    """The operations of the platform, in terms of this project's types."""
 
     @property
     def names(self) -> HeaderNames:
-        """How the platform names its headers."""
+        """The platform's names of headers."""
 
     @property
     def source(self) -> FeedSource:
-        """The store's feeds."""
+        """The source of the store's feeds."""
 
     def read_routes(self, entries: Mapping[str, bytes]) -> RouteTable | None:
-        """Return the routes in a feed's entries; None where there are none yet.
+        """Return the routes in a feed's entries; None when there are none yet.
 
-        Raises ValueError for entries that make no sense.
+        Raises ValueError for invalid entries.
         """
 
     def read_server(self, name: str, body: bytes) -> RegisteredServer:
-        """Return a registered server; raises ValueError where it makes no sense."""
+        """Return a registered server; raise ValueError for an invalid entry."""
 
     def read_evacuation(self, name: str, body: bytes) -> str:
         """Return the data centre that an entry evacuates.
 
-        Raises ValueError where the entry makes no sense.
+        Raises ValueError for an invalid entry.
         """
 
     async def register_host(self, name: str, address: Address) -> bool:
-        """Tell other hosts where this one is; False when the store did not take it."""
+        """Register this host's address for other hosts; return False on failure."""
 
     def read_host(self, body: bytes) -> Address:
-        """Return where a host takes peers; raises ValueError for nonsense."""
+        """Return a host's address for peers; raise ValueError for an invalid entry."""
--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on an entry host: starts its parts, and stops them without a cut."""
+"""The daemon on an entry host: starts its components and stops them gracefully."""
 
 import functools
 import logging
@@ -39,21 +39,21 @@
 from .owner import Owner
 from .peers import PeerService
 from .ports import serve_port
-from .process import BACKLOG, tune_collector
+from .process import BACKLOG, tune_garbage_collector
 from .search import Query
 from .status import HostStatus, MemberStatus, ServiceStatus, SettingsStatus
 
 logger = logging.getLogger("lavendergap.entry")
 
-# The balancer asks for readiness every second or so; until it has noticed, it still
-# sends callers here, and they are served.
+# The balancer checks readiness about once a second; until it has noticed the stop, it
+# still sends callers here, and they are served.
 LEAVE_NOTICE_S = 3.0
 DRAIN_CHECK_INTERVAL_S = 0.05
 SWEEP_INTERVAL_S = 1.0
 
 
 def run_entry(settings: Settings, host: str, settings_path: str) -> None:
-    """Run the daemon of `host` until SIGTERM; raise SettingsError for no such host."""
+    """Run the daemon of `host` until SIGTERM; raise SettingsError if unknown."""
     own = settings.get_host(host)
     if own is None:
         names = ", ".join(h.name for h in settings.hosts)
@@ -64,31 +64,31 @@
         )
         raise SettingsError(problems=(problem,))
     daemon = Daemon(settings=settings, own=own)
-    tune_collector()
+    tune_garbage_collector()
     try:
         trio.run(daemon.run)
     except* LavendergapError as group:
-        # A person sees one line that says what to do, not the tasks around it.
+        # The operator gets one line that says what to do, not the exception group.
         raise find_first(group) from None
 
 
 def find_first(group: BaseExceptionGroup[LavendergapError]) -> LavendergapError:
-    """Return the first error in a group, however deep it stands."""
+    """Return the first error in a possibly nested exception group."""
     first = group.exceptions[0]
     return find_first(first) if isinstance(first, BaseExceptionGroup) else first
 
 
 def make_incarnation() -> int:
-    """Return a number that a later start of this process exceeds.
+    """Return a number that increases with each start of this process.
 
-    Milliseconds of the wall clock, since a host keeps nothing over a restart; a
-    restart takes longer than one.
+    Wall-clock time in milliseconds, since a host stores nothing across restarts and a
+    restart takes longer than a millisecond.
     """
     return int(time.time() * 1_000)
 
 
 class Daemon:
-    """One entry process. `run` returns once it has stopped as planned."""
+    """One entry process. `run` returns after a graceful stop."""
 
     def __init__(self, *, settings: Settings, own: Host) -> None:
         self._settings = settings
@@ -141,7 +141,7 @@
         )
 
     async def _announce_ready(self) -> None:
-        """Print `ready` once, for whoever started this process and waits."""
+        """Print `ready` once, for the script that started this process and waits."""
         while self._get_unready():
             await trio.sleep(DRAIN_CHECK_INTERVAL_S)
         print("ready", flush=True)
@@ -160,10 +160,10 @@
                         if member.may_own
                     }
                 )
-                self._keeper.note_members()
+                self._keeper.handle_member_change()
             case DocumentsAdvertised(member=member, documents=digest):
                 comparison = self._documents.compare(digest)
-                self._keeper.note_advertised(member.name, comparison.wanted)
+                self._keeper.handle_advertisement(member.name, comparison.wanted)
 
     def _build(self, nursery: trio.Nursery) -> None:
         hello = Hello(
@@ -286,7 +286,7 @@
         )
         return await self._coordinator.search(query)
 
-    # Settings and snapshots in force.
+    # Active settings and snapshots.
 
     def _use_settings(self, settings: Settings) -> None:
         self._settings = settings
@@ -316,7 +316,7 @@
             pinning.replace(published, now=trio.current_time())
         self._announce()
 
-    # What others are told.
+    # Readiness and status.
 
     def _get_unready(self) -> str:
         if self._is_leaving:
@@ -324,12 +324,12 @@
         return self._get_unsettled()
 
     def _get_unsettled(self) -> str:
-        """Return what this process lacks to serve anybody, or ""."""
+        """Return what this process still lacks to serve requests, or ""."""
         if not self._membership.joined:
             return "no peer has answered yet"
-        if not self._keeper.is_settled:
-            # The file may be older than what is in force elsewhere: serving by it
-            # would take accepted edits back.
+        if not self._keeper.is_ready:
+            # The file may be older than the settings active on other hosts; serving
+            # with it would revert accepted edits.
             return "no settings from the platform or a peer yet"
         return ""
 
@@ -375,11 +375,11 @@
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
             self._owner.close_unused()
-            self._fleet.forgive(now=trio.current_time())
+            self._fleet.expire_avoided(now=trio.current_time())
             self._count_dropped_lines()
             if self._membership.superseded:
                 # Two processes of one host would both issue tickets and own groups
-                # in its name; the later one is what the fleet goes by.
+                # under its name; the other hosts use the one started last.
                 raise LavendergapError(
                     f"another process of host {self._own.name} has started since: "
                     "this one ends; stop one of the two before starting another"
@@ -392,11 +392,11 @@
                 self._n_dropped = handler.n_dropped
 
     async def _leave(self) -> None:
-        """Stop without cutting a request.
+        """Stop gracefully, without interrupting a request.
 
-        First the balancer and the peers are told, and callers are served as before
-        until both have noticed. Then nothing new is taken, what runs is finished,
-        what others may ask about is handed over, and the ports close.
+        Announces the stop to the balancer and the peers and serves callers until both
+        have noticed. Then accepts no new work, finishes running requests, hands over
+        the records that others may ask for, and closes the ports.
         """
         drain = self._settings.control.drain_ms / 1_000
         self._is_leaving = True
@@ -419,7 +419,7 @@
         sys.stderr.flush()
 
     async def _finish_callers(self) -> None:
-        """Wait for requests that came in while others were handed over."""
+        """Wait for requests that arrived during the handover."""
         while True:
             await trio.sleep(DRAIN_CHECK_INTERVAL_S)
             if not self._callers.n_running:
--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -1,4 +1,4 @@
-"""How a gateway host finds the others, and stays connected to those it will ask."""
+"""Finds other gateway hosts, and keeps channels open to the owners of groups."""
 
 import logging
 from collections.abc import Callable, Collection
@@ -17,27 +17,24 @@
 
 logger = logging.getLogger("lavendergap.entry")
 
-# How often the list of hosts is read while no peer has answered, in seconds.
-HOSTS_RETRY = 1.0
-# What the seeds are given to answer, in seconds, before a host registers for want of
-# anybody: three probes. Hosts that start together find the seeds still starting at the
-# first one.
-SEEDS_WAIT = 2.0
-# A host that knows others registers this long after its start, in seconds, if it is to:
-# until then it does not know how many stand before it.
-REGISTER_AFTER = 4.0
-# How often a host looks whether it is to register now, others being gone, in seconds.
-REGISTER_CHECK = 2.0
-# How often the channels to owners are looked at, in seconds: owners move when hosts
-# come and go, which membership tells within some seconds.
-CHANNEL_CHECK = 0.5
+# Minimum interval of reads of the host list while no peer has answered.
+HOSTS_RETRY_S = 1.0
+# How long the seeds have to answer before a host registers because it found no other:
+# enough for three probes, since seeds that start at the same time miss the first one.
+SEEDS_WAIT_S = 2.0
+# A host that has found others registers no sooner than this after its start: until then
+# its list of members is incomplete, and it cannot tell whether it has to register.
+REGISTER_AFTER_S = 4.0
+# Interval of checks whether a host has to register because others are gone.
+REGISTER_CHECK_INTERVAL_S = 2.0
+# Interval of checks of the channels to owners, which change as hosts come and go.
+CHANNEL_CHECK_INTERVAL_S = 0.5
 
 
 class Discovery:
-    """Finds other hosts through the store, and lets some of them be found there.
+    """Finds other hosts through the store, where some hosts register.
 
-    The seeds may all be down, and a host whose seeds are gone would own everything
-    for itself.
+    A host with only its seeds would own all groups alone while they are down.
     """
 
     def __init__(
@@ -56,20 +53,20 @@
         self._started_at = trio.current_time()
 
     async def run(self) -> None:
-        """List hosts until one has answered; register when it is this host's turn."""
-        await self._list()
-        await trio.sleep(SEEDS_WAIT)
+        """List hosts until one has answered; register if this host is to."""
+        await self._list_hosts()
+        await trio.sleep(SEEDS_WAIT_S)
         while True:
             is_alone = self._is_alone()
             is_due = not self._is_registered and self._is_to_register()
             if is_alone or is_due:
-                # An entry of this host's last process may stand there unchanged.
-                await self._list()
+                # The entry of this host's previous process may still be valid.
+                await self._list_hosts()
             if is_due and not self._is_registered:
                 await self._register()
             is_retrying = is_alone or (is_due and not self._is_registered)
-            retry = HOSTS_RETRY * self._random.uniform(1.0, 3.0)
-            await trio.sleep(retry if is_retrying else REGISTER_CHECK)
+            retry = HOSTS_RETRY_S * self._random.uniform(1.0, 3.0)
+            await trio.sleep(retry if is_retrying else REGISTER_CHECK_INTERVAL_S)
 
     def _is_alone(self) -> bool:
         return len(self._membership.live()) < 2
@@ -77,18 +74,18 @@
     def _is_to_register(self) -> bool:
         if self._is_alone():
             return True
-        if trio.current_time() < self._started_at + REGISTER_AFTER:
+        if trio.current_time() < self._started_at + REGISTER_AFTER_S:
             return False
         return is_to_register(self._host.name, self._membership.places())
 
     async def _register(self) -> None:
         host = self._host
         self._is_registered = await self._adapter.register_host(host.name, host.peers)
-        said = "host registered" if self._is_registered else "host not registered"
-        log_decision(logger, said, request_id=None, host=host.name)
+        event = "host registered" if self._is_registered else "host not registered"
+        log_decision(logger, event, request_id=None, host=host.name)
 
-    async def _list(self) -> None:
-        """Try the hosts that are registered, this one's own entry aside."""
+    async def _list_hosts(self) -> None:
+        """List the registered hosts and contact them."""
         match await self._adapter.source.list_feed(HOSTS_FEED, may_lag=True):
             case FeedListing(entries=entries):
                 for entry in entries:
@@ -123,15 +120,14 @@
 async def keep_channels(
     *, fleet: Fleet, dialer: Dialer, get_groups: Callable[[], Collection[str]]
 ) -> None:
-    """Keep channels open to the owners that queries of this host would ask.
+    """Keep channels open to the owners that queries on this host will be sent to.
 
-    A query that has to open its channels first takes 20 to 100 ms longer on a weak
-    host, misses its goal, and takes owners for lost that are merely new to it. They
-    are opened one after the other, so that a fleet that starts together does not meet
-    itself in a burst.
+    A query that first has to open its channels may miss its goal and take the owners
+    for lost. Channels are opened one after the other, so that hosts that start together
+    do not flood each other with connections.
     """
     while True:
-        await trio.sleep(CHANNEL_CHECK)
+        await trio.sleep(CHANNEL_CHECK_INTERVAL_S)
         owners = {fleet.rank(group)[0] for group in get_groups()}
         for host in sorted(owners - {fleet.own_name}):
             address = fleet.get_address(host)
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -1,8 +1,8 @@
-"""Settings and index objects: taken from the platform or from peers, put in force.
+"""Reads settings and index objects from the platform or peers and activates them.
 
-The platform's copy is the authority. A few hosts watch it; the others learn of new
-versions by gossip and fetch them from the host that told them. Whatever the way, only
-a newer version is put in force.
+The platform's copy is authoritative. A few hosts watch it; the others receive new
+version numbers by gossip and fetch the documents from the hosts that advertise them.
+Only a newer version is ever activated.
 """
 
 import logging
@@ -40,19 +40,19 @@
 from ..transport.dialer import Dialer
 from ..transport.platform import PlatformClient
 from .fleet import Fleet
-from .reading import INDEX_PREFIX, MAX_RETRY_DELAY, PlatformReader
+from .reading import INDEX_PREFIX, MAX_RETRY_DELAY_S, PlatformReader
 
 logger = logging.getLogger("lavendergap.settings")
 
-FETCH_LIMIT = 2.0
+FETCH_TIMEOUT_S = 2.0
 
-SPOILT_TIME = 10.0
-"""For how long peers are not asked for a version that they gave in a garbled form."""
+UNREADABLE_RETRY_S = 10.0
+"""Delay before peers are asked again for a version they sent in unreadable form."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ActiveSettings:
-    """What a process says of the settings it acts on."""
+    """The active settings, and the problem of a newer version if there is one."""
 
     version: int
     source: str
@@ -60,8 +60,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Spoilt:
-    """A version that came garbled; it is asked for again, since it may be good."""
+class UnreadableVersion:
+    """A version that was received in unreadable form; a later attempt may succeed."""
 
     version: int
     reason: str
@@ -70,10 +70,10 @@
 
 
 class DocumentKeeper:
-    """Keeps this host's documents as new as the platform's or its peers' are.
+    """Keeps this host's documents up to date with those of the platform and its peers.
 
-    `use_settings` and `use_index` are called with each version that comes in force,
-    in the order of their versions.
+    `use_settings` and `use_index` are called with each version that is activated, in
+    the order of versions.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         use_settings: Callable[[Settings], None],
         use_index: Callable[[Published], None],
     ) -> None:
-        self.is_settled = False
+        self.is_ready = False
         self._settings = settings
         self._key = make_settings_key(settings.deployment)
         self._documents = documents
@@ -102,8 +102,8 @@
         self._use_index = use_index
         self._advertisers = Advertisers()
         self._fetching: set[str] = set()
-        self._spoilt: dict[str, Spoilt] = {}
-        self._has_answer = False
+        self._unreadable: dict[str, UnreadableVersion] = {}
+        self._has_settings = False
         self._reader = PlatformReader(
             settings_key=self._key,
             platform=platform,
@@ -112,12 +112,12 @@
             get_members=get_members,
             get_n_holders=lambda: self._settings.control.watch_holders,
             get_newest_seen=self._get_newest_seen,
-            take=self._take,
-            note_answer=self._note_answer,
+            apply_object=self._apply_platform_object,
+            on_settings_read=self._record_settings_read,
         )
 
     def describe(self) -> ActiveSettings:
-        """Return which settings are in force here, and what a newer one lacks."""
+        """Return the version and source of the active settings."""
         held = self._documents.get(self._key)
         return ActiveSettings(
             version=held.version if held else 0,
@@ -129,102 +129,108 @@
         for problem in self._documents.problems():
             if problem.name == self._key:
                 return f"version {problem.version}: {problem.reason}"
-        spoilt = self._spoilt.get(self._key)
-        if spoilt is not None:
-            return f"version {spoilt.version}: {spoilt.reason}"
+        unreadable = self._unreadable.get(self._key)
+        if unreadable is not None:
+            return f"version {unreadable.version}: {unreadable.reason}"
         return None
 
     async def run(self) -> None:
-        """Read the platform, then watch it or, mostly, leave that to others."""
+        """Read the platform, then watch it if this host is a watch holder."""
         await self._reader.run()
 
-    def note_members(self) -> None:
-        """Work out anew who holds the watches; to be called when members change."""
-        self._reader.note_members()
+    def handle_member_change(self) -> None:
+        """Choose the watch holders again; to be called when members change."""
+        self._reader.handle_member_change()
 
-    def _note_answer(self) -> None:
-        self._has_answer = True
-        self._settle()
+    def _record_settings_read(self) -> None:
+        self._has_settings = True
+        self._update_readiness()
 
-    def _concerns_us(self, key: str) -> bool:
+    def _is_relevant(self, key: str) -> bool:
         return key == self._key or key.startswith(INDEX_PREFIX)
 
     def _get_newest_seen(self, name: str) -> int:
-        """Return the newest version in force or refused here, 0 for none."""
+        """Return the newest version that was activated or refused here, or 0."""
         held = self._documents.get(name)
         seen = [p.version for p in self._documents.problems() if p.name == name]
         return max([*seen, held.version if held else 0])
 
-    def _take(self, key: str, version: int, value: bytes) -> bool:
-        """Put the platform's object in force; tell whether it could be read.
+    def _apply_platform_object(self, key: str, version: int, value: bytes) -> bool:
+        """Activate the platform's object; return whether it could be read.
 
-        A text that an operator got wrong reads the same wherever it comes from: it
-        is refused for good and named. Anything else that is not as it should be may
-        be the way's fault, and the same version good at the next try or at a peer;
-        refused for good, the accepted edit would never come in force here.
+        An invalid settings text is refused permanently and reported. Other errors may
+        come from the transfer, so the version is read again later or from a peer;
+        refused permanently, an accepted edit might never become active here.
         """
         if version <= self._get_newest_seen(key):
             return True
         body = value
         try:
             if key == self._key:
-                # Peers get the checked and resolved form, which they read fast.
+                # Peers get the checked and resolved form, which is fast to read.
                 body = encode_settings(resolve_settings(value, key, version))
             else:
                 _decode_index(key, value, version)
         except SettingsError:
             pass
         except ObjectError as error:
-            self._spoil(key, version, Source.PLATFORM, error.problem)
+            self._record_unreadable(key, version, Source.PLATFORM, error.problem)
             return False
         self._offer(key, version, body, Source.PLATFORM)
         return True
 
-    def _spoil(self, name: str, version: int, source: Source, reason: str) -> None:
+    def _record_unreadable(
+        self, name: str, version: int, source: Source, reason: str
+    ) -> None:
         metrics.rejected_input.labels(source.value, "garbled document").inc()
-        until = trio.current_time() + SPOILT_TIME
-        self._spoilt[name] = Spoilt(
+        until = trio.current_time() + UNREADABLE_RETRY_S
+        self._unreadable[name] = UnreadableVersion(
             version=version, reason=reason, source=source, until=until
         )
         _log_refusal(name, version, source, reason)
 
     # From peers.
 
-    def note_advertised(self, host: str, wanted: tuple[FetchDocument, ...]) -> None:
-        """Fetch from a peer what it has newer than ours."""
+    def handle_advertisement(
+        self, host: str, wanted: tuple[FetchDocument, ...]
+    ) -> None:
+        """Fetch documents that a peer advertises in newer versions than ours."""
         for want in wanted:
-            if not self._concerns_us(want.name) or self._is_spoilt(want):
+            if not self._is_relevant(want.name) or self._is_known_unreadable(want):
                 continue
             self._advertisers.note(host, want)
             if want.name not in self._fetching:
                 self._fetching.add(want.name)
                 self._nursery.start_soon(self._fetch, want.name)
 
-    def _is_spoilt(self, want: FetchDocument) -> bool:
-        """Tell whether peers gave this version garbled a moment ago.
+    def _is_known_unreadable(self, want: FetchDocument) -> bool:
+        """Return whether a peer recently sent this version in unreadable form.
 
-        A host that was not yet replaced cannot read what newer ones hand out; it
-        would fetch the whole from each of them with every datagram, in vain.
+        During an upgrade a host cannot read the form that newer releases send, and
+        would fetch the whole document from them again with every gossip datagram.
         """
-        spoilt = self._spoilt.get(want.name)
-        if spoilt is None or spoilt.source is not Source.PEER:
+        unreadable = self._unreadable.get(want.name)
+        if unreadable is None or unreadable.source is not Source.PEER:
             return False
-        return want.at_least <= spoilt.version and trio.current_time() < spoilt.until
+        return (
+            want.at_least <= unreadable.version
+            and trio.current_time() < unreadable.until
+        )
 
     async def _fetch(self, name: str) -> None:
-        """Ask those who told of something newer, one after the other.
+        """Fetch a document from the hosts that advertise it, one after the other.
 
-        Whoever told first may have died since. Were only the one asked, a channel
-        that went silent would hold the newest version up for seconds.
+        The first one may have died since; relying on it alone, a silent channel would
+        delay the newest version for seconds.
         """
         try:
             while want := self._advertisers.take(name, self._get_newest_seen(name)):
                 document = await self._ask(want.host, name, want.at_least)
                 if document is not None:
-                    await self._take_from_peer(document)
+                    await self._apply_peer_document(document)
         finally:
             self._fetching.discard(name)
-            self._settle()
+            self._update_readiness()
 
     async def _ask(self, host: str, name: str, at_least: int) -> Document | None:
         address = self._fleet.get_address(host)
@@ -234,49 +240,47 @@
         if isinstance(channel, Loss):
             return None
         fetch = Fetch(name=name, at_least=at_least)
-        reply = await channel.ask(fetch, limit=FETCH_LIMIT)
+        reply = await channel.ask(fetch, limit=FETCH_TIMEOUT_S)
         if isinstance(reply, Document) and reply.name == name:
             return reply if reply.version >= at_least else None
         return None
 
-    async def _take_from_peer(self, document: Document) -> None:
+    async def _apply_peer_document(self, document: Document) -> None:
         name, version = document.name, document.version
         if version <= self._get_newest_seen(name):
             return
         try:
             _decode(name, document.body, version)
         except ObjectError as error:
-            self._spoil(name, version, Source.PEER, error.problem)
+            self._record_unreadable(name, version, Source.PEER, error.problem)
             self._advertisers.forget(name)
-            # Perhaps the form of a newer release; the platform has the text.
-            await trio.sleep(self._random.uniform(0.0, MAX_RETRY_DELAY))
+            # It may be in the form of a newer release; the platform has the text.
+            await trio.sleep(self._random.uniform(0.0, MAX_RETRY_DELAY_S))
             await self._reader.read_all()
             return
         self._offer(name, version, document.body, Source.PEER)
 
-    # In force.
+    # Activation.
 
     def _offer(self, name: str, version: int, body: bytes, source: Source) -> None:
         result = self._documents.offer(name, version, body, source)
         match result:
             case Accepted():
-                self._put_in_force(name, version, body, source)
+                self._activate(name, version, body, source)
             case Ignored(reason=IgnoredReason.REFUSED, detail=detail):
                 _log_refusal(name, version, source, detail)
 
-    def _put_in_force(
-        self, name: str, version: int, body: bytes, source: Source
-    ) -> None:
-        spoilt = self._spoilt.get(name)
-        if spoilt is not None and (
-            spoilt.version <= version or source is Source.PLATFORM
+    def _activate(self, name: str, version: int, body: bytes, source: Source) -> None:
+        unreadable = self._unreadable.get(name)
+        if unreadable is not None and (
+            unreadable.version <= version or source is Source.PLATFORM
         ):
-            del self._spoilt[name]
+            del self._unreadable[name]
         match _decode(name, body, version):
             case Settings() as settings:
                 self._settings = settings
-                self._has_answer = True
-                self.note_members()
+                self._has_settings = True
+                self.handle_member_change()
                 self._use_settings(settings)
             case Published() as published:
                 self._use_index(published)
@@ -288,20 +292,20 @@
             version=version,
             source=source.value,
         )
-        self._settle()
+        self._update_readiness()
 
-    def _settle(self) -> None:
-        """Note that the settings known here may be served by.
+    def _update_readiness(self) -> None:
+        """Set `is_ready` once requests may be served with the active settings.
 
-        The platform may have answered from a copy that lags, while a peer has told
-        of a newer version: until that is fetched, a host just started would serve
-        by settings that were replaced everywhere else.
+        The platform may have answered from a lagging replica while a peer advertises a
+        newer version. Serving before that one is fetched, a host that has just started
+        would use settings that have been replaced everywhere else.
         """
-        if self._has_answer and self._key not in self._fetching:
-            self.is_settled = True
+        if self._has_settings and self._key not in self._fetching:
+            self.is_ready = True
 
     def get_published(self, settings: Settings) -> list[Published]:
-        """Return each service's published snapshots, or what stands for them."""
+        """Return each service's published snapshots, or its initial ones."""
         published = []
         for service in settings.services:
             name = INDEX_PREFIX + service.name
@@ -327,7 +331,7 @@
 
 
 def resolve_settings(value: bytes, key: str, version: int) -> Settings:
-    """Return the settings in the platform's object, checked in full."""
+    """Return the settings in the platform's object after complete validation."""
     stored = decode_settings_object(value, key=key)
     return read_settings(stored, key=key, version=version)
 
@@ -338,17 +342,17 @@
 
 
 def _decode(name: str, body: bytes, version: int) -> Settings | Published:
-    """Return what a document says in the form that hosts hand to each other."""
+    """Return the contents of a document in the form that hosts exchange."""
     if name.startswith(INDEX_PREFIX):
         return _decode_index(name, body, version)
     return decode_settings(body)
 
 
 def check_document(name: str, body: bytes) -> str | None:
-    """Return why a document cannot be put in force, or None when it can.
+    """Return why a document cannot be activated, or None when it can.
 
-    A text that could not be resolved comes as the platform's object; the complaint
-    then names the places in the text.
+    Settings that could not be resolved are in the form of the platform's object; the
+    problem then names the places in the text.
     """
     try:
         if not name.startswith(INDEX_PREFIX) and body.startswith(b"{"):
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -183,7 +183,7 @@
             )
             is_watching = rank is not None or is_leading
             if not is_watching and not self.is_stale:
-                await self._wait_for_news(is_starting)
+                await self._wait_for_update(is_starting)
                 continue
             base = self.copy.revision
             wait = self._timing.watch_wait_s if is_watching else 0.0
@@ -214,7 +214,7 @@
                 case StoreLost() as lost:
                     await self._record_loss(lost)
 
-    async def _wait_for_news(self, is_starting: bool) -> None:
+    async def _wait_for_update(self, is_starting: bool) -> None:
         """Wait until an update is overdue, or this host may have to watch itself."""
         until = self._confirmed_at + self._draw_stale_delay()
         if is_starting:
--- a/src/lavendergap/entry/fleet.py
+++ b/src/lavendergap/entry/fleet.py
@@ -1,4 +1,4 @@
-"""Which entry hosts are live, where they are, and how they rank for a group."""
+"""The live entry hosts: their addresses, data centres and ranking for a group."""
 
 from collections.abc import Callable, Collection
 
@@ -6,7 +6,7 @@
 from ..coordination.ranking import Ranking
 from ..state.settings import Address, Settings
 
-SHUN_TIME = 2.0
+AVOID_TIME_S = 2.0
 
 
 def _do_nothing(host: str) -> None:
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """This host's view of all entry hosts; changes as settings and members do."""
+    """This host's view of all entry hosts, updated when settings and members change."""
 
     def __init__(
         self,
@@ -30,49 +30,48 @@
         self._placement = placement
         self._addresses = {host.name: host.peers for host in settings.hosts}
         self._ranking = Ranking(hosts=frozenset({own_name}))
-        self._shunned: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
 
     def rank(self, group: str) -> tuple[str, ...]:
-        """Return the first live hosts for a group, its owner first.
+        """Return the highest-ranked live hosts for a group, its owner first.
 
-        Never empty: a host that knows of no other owns everything itself. Hosts
-        that are shunned or suspect come last.
+        Never empty: a host that has found no other owns all groups. Hosts that are
+        avoided or suspect come last.
         """
         if self._placement is not None:
             ranked = self._placement.rank(group) or (self.own_name,)
         else:
             ranked = self._ranking.rank(group) or (self.own_name,)
-        if not self._shunned and not self._suspects:
+        if not self._avoided_until and not self._suspects:
             return ranked
         return tuple(sorted(ranked, key=self._is_doubtful))
 
     def _is_doubtful(self, host: str) -> bool:
-        return host in self._shunned or host in self._suspects
+        return host in self._avoided_until or host in self._suspects
 
     def stands_in(self, host: str, data_centres: Collection[str]) -> bool:
-        """Tell whether a host is known to stand in one of some data centres."""
+        """Return whether a host is known to be in one of `data_centres`."""
         if self._placement is None:
             return False
         return self._placement.get_data_centre(host) in data_centres
 
     def shun(self, host: str, *, now: float) -> None:
-        """Pass over a host that was found silent or refused a channel.
+        """Avoid a host for a while after it did not answer or refused a channel.
 
-        Membership takes seconds to tell a dead host from a slow one; until then
-        each query would lose half of its time on it. The host is probed at once, so
-        that the others, too, pass over it as soon as it is a suspect: found silent by
-        each by itself, it would cost each a query.
+        Membership needs seconds to detect a dead host; until then each query would lose
+        much of its time waiting for it. The host is probed at once, so that other hosts
+        avoid it as a suspect and do not each lose a query to it.
         """
-        if host not in self._shunned:
+        if host not in self._avoided_until:
             self._probe(host)
-        self._shunned[host] = now + SHUN_TIME
+        self._avoided_until[host] = now + AVOID_TIME_S
 
-    def forgive(self, *, now: float) -> None:
-        """Try hosts again whose time of being passed over has ended at `now`."""
-        self._shunned = {h: t for h, t in self._shunned.items() if t > now}
+    def expire_avoided(self, *, now: float) -> None:
+        """Stop avoiding hosts whose time has ended at `now`."""
+        self._avoided_until = {h: t for h, t in self._avoided_until.items() if t > now}
 
     def get_address(self, host: str) -> Address | None:
-        """Return where a host takes peers' channels."""
+        """Return the address at which a host accepts channels of peers."""
         return self._addresses.get(host)
 
     @property
@@ -81,14 +80,14 @@
         return self._ranking.hosts
 
     def replace_settings(self, settings: Settings) -> None:
-        """Learn the addresses of hosts that new settings name."""
+        """Add the addresses of the hosts in new settings."""
         self._addresses |= {host.name: host.peers for host in settings.hosts}
 
     def replace_suspects(self, suspects: frozenset[str]) -> None:
-        """Learn which hosts have not answered lately."""
+        """Replace the hosts that membership suspects to be down."""
         self._suspects = suspects
 
     def replace_live(self, live: dict[str, Address]) -> None:
-        """Learn who is live now, and where."""
+        """Replace the live hosts, given with their addresses."""
         self._addresses |= live
         self._ranking = self._ranking.replace_hosts(frozenset(live))
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -46,7 +46,7 @@
 from .owner import Owner
 from .peers import PeerService
 from .ports import PortLimits, serve_port
-from .process import BACKLOG, tune_collector
+from .process import BACKLOG, tune_garbage_collector
 from .quarantine import QuarantineKeeper
 
 logger = logging.getLogger("lavendergap.entry")
@@ -86,7 +86,7 @@
 def run_gateway(path: Path, make_adapter: Callable[[GatewayHost], Adapter]) -> None:
     """Run the daemon until SIGTERM; raise SettingsError for a bad settings file."""
     host = read_host_file(path)
-    tune_collector()
+    tune_garbage_collector()
     trio.run(Gateway(host=host, path=path, adapter=make_adapter(host)).run)
 
 
@@ -384,7 +384,7 @@
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
             self._owner.close_unused()
-            self._fleet.forgive(now=trio.current_time())
+            self._fleet.expire_avoided(now=trio.current_time())
 
     async def _poll_settings_file(self) -> None:
         while True:
--- a/src/lavendergap/entry/livehosts.py
+++ b/src/lavendergap/entry/livehosts.py
@@ -1,4 +1,4 @@
-"""Puts the hosts that membership believes live in force on a gateway host."""
+"""Applies changes of the live hosts on a gateway host, batched over short intervals."""
 
 from collections.abc import Callable
 
@@ -9,20 +9,17 @@
 from ..state.gossip import DocumentsAdvertised, Event, MemberChanged
 from .fleet import Fleet
 
-# Seconds between two times that changed members are put in force. Who ranks owners
-# by members a tenth of a second old loses nothing: a host that is gone is noticed
-# after 2 s, and queries pass over it before that.
+# Seconds between two applications of member changes. The delay is harmless: detecting
+# a lost host takes longer, and queries avoid it before that.
 PAUSE = 0.1
 
 
 class LiveHosts:
-    """Ranks owners among the live hosts, anew soon after members change.
+    """Ranks the owners among the live hosts again soon after members change.
 
-    Members change together: a host that starts hears of all others within a second
-    or two, and a loss of power shows host by host. Owners were ranked and groups
-    built anew for each, which took 0.7 s of processor time on each of 195 hosts
-    that started together. Twenty times instead of 195, with what has not changed
-    kept, it takes 0.04 s (`python -m lab.memberchanges`).
+    Members change in bursts, as when hosts start together or lose power. Changes within
+    an interval are applied at once, since ranking owners and building groups for each
+    change would take up the processor (`python -m lab.memberchanges`).
     """
 
     def __init__(
@@ -37,11 +34,11 @@
         self._fleet = fleet
         self._placement = placement
         self._apply = apply
-        self._places: dict[str, str] = {}
+        self._data_centres: dict[str, str] = {}
         self._has_changed = trio.Event()
 
     def take_event(self, event: Event) -> None:
-        """Note what membership tells; what it means is worked out in `run`."""
+        """Record that members have changed, for `run` to apply."""
         match event:
             case MemberChanged():
                 self._has_changed.set()
@@ -49,21 +46,23 @@
                 pass
 
     async def run(self) -> None:
-        """Put changes in force until cancelled, the first one of a burst at once."""
+        """Apply changes until cancelled, the first one of a burst without delay."""
         while True:
             await self._has_changed.wait()
             self._has_changed = trio.Event()
-            self._put_in_force()
+            self._apply_changes()
             await trio.sleep(PAUSE)
 
-    def _put_in_force(self) -> None:
-        places = self._membership.places()
-        # Also where the same hosts are live: one that was replaced has other addresses.
+    def _apply_changes(self) -> None:
+        data_centres = self._membership.places()
+        # Needed even if the same hosts are live: a replaced host has a new address.
         members = self._membership.members()
-        self._fleet.replace_live({m.name: m.peers for m in members if m.name in places})
+        self._fleet.replace_live(
+            {m.name: m.peers for m in members if m.name in data_centres}
+        )
         self._fleet.replace_suspects(self._membership.suspects())
-        if places == self._places:
+        if data_centres == self._data_centres:
             return
-        self._places = places
-        self._placement.replace_hosts(places)
+        self._data_centres = data_centres
+        self._placement.replace_hosts(data_centres)
         self._apply()
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -1,4 +1,4 @@
-"""What this host does for its peers: serves the requests on their channels."""
+"""Serves the requests of peers on their channels."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
@@ -33,42 +33,42 @@
 from .batch import Wanted
 from .owner import Owner
 
-# One result is at most as large as this, so no frame comes near the peer's limit.
+# One result is at most this large, so that frames stay well below the peer's limit.
 MAX_BATCH_BYTES = 1024 * 1024
 
 
-# Of the time to the goal, how long an owner holds back what it has while shards are
-# out. Later, too little would be left to join and to answer in; sooner, each shard's
-# records would cross between data centres by themselves.
+# The share of the time to the goal for which an owner holds answers back while it waits
+# for other shards. A higher one leaves too little time to join and reply; with a lower
+# one, records of each shard cross between data centres separately.
 HOLD_SHARE = 0.6
 
 
 @dataclass(kw_only=True, slots=True)
-class Served:
-    """A peer's Search: its calls that run, and the answers not yet sent."""
+class PendingSearch:
+    """A peer's Search: its running calls and the answers not yet sent."""
 
     calls: dict[str, Call] = field(default_factory=dict)
     answers: list[ShardAnswer] = field(default_factory=list)
     n_wanted: int = 0
     hold_until: float = 0.0
-    held: trio.Event = field(default_factory=trio.Event)
+    release: trio.Event = field(default_factory=trio.Event)
 
 
 class FeedService(Protocol):
-    """The feeds of this host, where it has any."""
+    """The operations on this host's feeds that peers request."""
 
     def receive(self, update: FeedNews, *, host: str) -> None:
-        """Take a peer's update."""
+        """Apply a peer's update."""
 
     def make_state(self, fetch: FeedFetch) -> FeedState:
-        """Return this host's copy of a feed, or what of it differs."""
+        """Return this host's copy of a feed, or the parts that differ."""
 
     def receive_strike(self, struck: Struck) -> None:
-        """Take a peer's strike."""
+        """Apply a peer's strike."""
 
 
 class PeerService:
-    """Serves peers' requests; `answer_ticket` decides on tickets."""
+    """Serves peers' requests; ticket requests are passed to `answer_ticket`."""
 
     def __init__(
         self,
@@ -84,10 +84,10 @@
         self._documents = documents
         self._nursery = nursery
         self._answer_ticket = answer_ticket
-        self._served: dict[Channel, dict[int, Served]] = {}
+        self._pending_by_channel: dict[Channel, dict[int, PendingSearch]] = {}
 
     def handle(self, channel: Channel, frame: Frame) -> None:
-        """Take one request of a peer; replies go out as they come."""
+        """Serve one request of a peer; replies are sent as they become available."""
         match frame.message:
             case Search() as search:
                 self._search(channel, frame.id, search)
@@ -98,7 +98,9 @@
             case Fetch() as fetch:
                 self._fetch(channel, frame.id, fetch)
             case TicketAsk() as ask:
-                self._nursery.start_soon(self._ticket, channel, frame.id, ask)
+                self._nursery.start_soon(
+                    self._answer_ticket_request, channel, frame.id, ask
+                )
             case FeedNews() as update if self._feeds is not None:
                 if channel.peer is not None:
                     self._feeds.receive(update, host=channel.peer.host)
@@ -111,20 +113,20 @@
                 metrics.rejected_input.labels("peers", "unexpected message").inc()
 
     def drop(self, channel: Channel) -> None:
-        """Cancel what a lost channel's peer had asked for."""
-        for served in self._served.pop(channel, {}).values():
-            self._owner.cancel(list(served.calls.values()))
+        """Cancel the pending searches of a lost channel's peer."""
+        for pending in self._pending_by_channel.pop(channel, {}).values():
+            self._owner.cancel(list(pending.calls.values()))
 
     def _search(self, channel: Channel, frame_id: int, search: Search) -> None:
         now = trio.current_time()
         greatest = search.greatest
         goal = 0.0
-        served = Served()
+        pending = PendingSearch()
         if greatest is not None:
-            served.n_wanted = greatest.n_wanted
+            pending.n_wanted = greatest.n_wanted
             goal = now + greatest.goal_ms / 1_000
-            served.hold_until = now + HOLD_SHARE * (goal - now)
-        self._served.setdefault(channel, {})[frame_id] = served
+            pending.hold_until = now + HOLD_SHARE * (goal - now)
+        self._pending_by_channel.setdefault(channel, {})[frame_id] = pending
         deadline = now + search.left_ms / 1_000
 
         def finish(end: FinishCall, versions: tuple[int, ...]) -> None:
@@ -134,7 +136,7 @@
                 outcome=end.outcome,
                 versions=versions,
             )
-            self._collect(channel, frame_id, served, answer)
+            self._collect(channel, frame_id, pending, answer)
 
         wanted = []
         for ref in search.shards:
@@ -155,51 +157,58 @@
                 priority=greatest.priority if greatest else 0,
                 kind=search.service if greatest else "",
                 ends_with_server=greatest is not None,
-                data_centres=_read_places(greatest),
+                data_centres=_read_data_centres(greatest),
             )
-            served.calls[ref.shard] = call
+            pending.calls[ref.shard] = call
             wanted.append(Wanted(call=call, finish=finish))
         if wanted:
             self._owner.submit(wanted)
 
     def _collect(
-        self, channel: Channel, frame_id: int, served: Served, answer: ShardAnswer
+        self,
+        channel: Channel,
+        frame_id: int,
+        pending: PendingSearch,
+        answer: ShardAnswer,
     ) -> None:
-        """Keep an answer for the flush that follows in the next turn of the loop.
+        """Add an answer to those of the next flush.
 
-        Answers that come within one turn then share one message. That a server ended is
-        not held back: the coordinator has to ask another one, or nobody any more.
+        Answers of one iteration of the event loop share a message. The end of a server
+        is not held back, since the coordinator has to act on it: it asks another server
+        or gives up.
         """
-        if served.calls.pop(answer.shard, None) is None:
+        if pending.calls.pop(answer.shard, None) is None:
             return
-        if not served.calls or is_server_end(answer.outcome):
-            served.held.set()
-        if not served.answers:
-            self._nursery.start_soon(self._flush, channel, frame_id, served)
-        served.answers.append(answer)
-
-    async def _flush(self, channel: Channel, frame_id: int, served: Served) -> None:
-        with trio.move_on_at(served.hold_until):
-            await served.held.wait()
-        answers, served.answers = served.answers, []
-        if served.n_wanted:
-            merged = merge_answers(answers, n_wanted=served.n_wanted)
+        if not pending.calls or is_server_end(answer.outcome):
+            pending.release.set()
+        if not pending.answers:
+            self._nursery.start_soon(self._flush, channel, frame_id, pending)
+        pending.answers.append(answer)
+
+    async def _flush(
+        self, channel: Channel, frame_id: int, pending: PendingSearch
+    ) -> None:
+        with trio.move_on_at(pending.hold_until):
+            await pending.release.wait()
+        answers, pending.answers = pending.answers, []
+        if pending.n_wanted:
+            merged = merge_answers(answers, n_wanted=pending.n_wanted)
             channel.send(Frame(id=frame_id, message=merged))
         else:
-            for batch in part_answers(answers):
+            for batch in split_answers(answers):
                 channel.send(Frame(id=frame_id, message=Answers(answers=batch)))
-        if not served.calls:
-            self._served.get(channel, {}).pop(frame_id, None)
+        if not pending.calls:
+            self._pending_by_channel.get(channel, {}).pop(frame_id, None)
 
     def _cancel(self, channel: Channel, frame_id: int, shards: tuple[str, ...]) -> None:
-        served = self._served.get(channel, {}).get(frame_id)
-        if served is None:
+        pending = self._pending_by_channel.get(channel, {}).get(frame_id)
+        if pending is None:
             return
-        calls = [served.calls.pop(s) for s in shards if s in served.calls]
+        calls = [pending.calls.pop(s) for s in shards if s in pending.calls]
         self._owner.cancel(calls)
-        if not served.calls:
-            served.held.set()
-            self._served[channel].pop(frame_id, None)
+        if not pending.calls:
+            pending.release.set()
+            self._pending_by_channel[channel].pop(frame_id, None)
 
     def _run(self, channel: Channel, frame_id: int, run: Run) -> None:
         call = Call(
@@ -227,22 +236,24 @@
             reply = Document(name=fetch.name, version=held.version, body=held.body)
         channel.send(Frame(id=frame_id, message=reply))
 
-    async def _ticket(self, channel: Channel, frame_id: int, ask: TicketAsk) -> None:
+    async def _answer_ticket_request(
+        self, channel: Channel, frame_id: int, ask: TicketAsk
+    ) -> None:
         reply = await self._answer_ticket(ask)
         channel.send(Frame(id=frame_id, message=reply))
 
 
-def _read_places(greatest: Greatest | None) -> frozenset[str] | None:
+def _read_data_centres(greatest: Greatest | None) -> frozenset[str] | None:
     if greatest is None or not greatest.data_centres:
         return None
     return frozenset(greatest.data_centres)
 
 
-def part_answers(answers: list[ShardAnswer]) -> list[tuple[ShardAnswer, ...]]:
+def split_answers(answers: list[ShardAnswer]) -> list[tuple[ShardAnswer, ...]]:
     """Return the answers in batches of at most about `MAX_BATCH_BYTES` each.
 
-    Large results of many shards at once would make a frame that the peer refuses as
-    too long: it would close the channel, and each repeat would close the next.
+    The peer closes a channel on a frame that is too long, as one with the large results
+    of many shards would be, and every retry would fail in the same way.
     """
     batches: list[list[ShardAnswer]] = [[]]
     n_bytes = 0
@@ -261,10 +272,10 @@
 
 
 def merge_answers(answers: list[ShardAnswer], *, n_wanted: int) -> Answers:
-    """Return the answers in one message, their records merged into the greatest.
+    """Return the answers in one message, with only the greatest of their records.
 
-    What crosses between data centres is then a list of the size that the caller
-    asked for, and not one for each shard.
+    One list of the size that the caller asked for then crosses between data centres,
+    not one for each shard.
     """
     bodies = []
     without_bodies = []
--- a/src/lavendergap/entry/ports.py
+++ b/src/lavendergap/entry/ports.py
@@ -1,4 +1,4 @@
-"""Serving an ASGI application on one of the host's ports."""
+"""Serves an ASGI application on one of the host's ports."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -10,29 +10,28 @@
 
 from ..state.settings import Address
 
-# Headers of more bytes than this in all are refused by the server with 431 or 400.
+# Headers longer than this in total are refused by the server with 431 or 400.
 MAX_HEADERS_BYTES = 16 * 1024
-# A connection is closed when no request begins on it for this long, in seconds.
-KEEP_ALIVE_LIMIT = 75
-# The server's own default closes a connection after 1,000 requests, which the
-# balancer would see as a cut whenever a request is on its way.
+# A connection is closed when no request begins on it for this long.
+KEEP_ALIVE_TIMEOUT_S = 75
+# The server's default closes a connection after 1,000 requests, which the balancer
+# would see as a failure of a request that it has just sent.
 MAX_REQUESTS_PER_CONNECTION = 2**31
 
 
 class PortLimits:
-    """What a port accepts; changes apply to connections and requests from then on.
+    """The limits of a port; changes apply to later connections and requests.
 
-    `idle_timeout` is in seconds: a connection is closed when no request begins on it
-    for so long.
+    A connection is closed when no request begins on it for `idle_timeout` seconds.
     """
 
     def __init__(self) -> None:
-        self.idle_timeout: float = KEEP_ALIVE_LIMIT
+        self.idle_timeout: float = KEEP_ALIVE_TIMEOUT_S
         self.max_header_bytes = MAX_HEADERS_BYTES
 
 
 class _LimitedConfig(Config):
-    """The server's configuration, with the limits that are in force at the moment."""
+    """The server's configuration; reads the current limits on each access."""
 
     def __init__(self, *, limits: PortLimits) -> None:
         super().__init__()
@@ -56,11 +55,11 @@
     limits: PortLimits | None = None,
     task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until `stop`, then let what runs finish for up to `drain_limit` s."""
+    """Serve until `stop`, then wait up to `drain_limit` s for running requests."""
     config = _LimitedConfig(limits=limits or PortLimits())
     config.bind = [str(address)]
     config.accesslog = None
-    # What goes wrong inside the server or our application is logged like all else.
+    # Errors inside the server or the application go to the common log.
     config.errorlog = logging.getLogger("lavendergap.ports")
     config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     config.graceful_timeout = drain_limit
--- a/src/lavendergap/entry/process.py
+++ b/src/lavendergap/entry/process.py
@@ -1,19 +1,19 @@
-"""What every daemon sets for its process before it serves."""
+"""Process-wide configuration that is common to all daemons."""
 
 import gc
 
 BACKLOG = 256
-"""Connections that wait to be accepted; beyond it the kernel drops them unseen."""
+"""Connections waiting to be accepted; the kernel drops further ones silently."""
 
-COLLECTOR_THRESHOLDS = (50_000, 10, 10)
+GC_THRESHOLDS = (50_000, 10, 10)
 
 
-def tune_collector() -> None:
-    """Have Python look for reference cycles less often.
+def tune_garbage_collector() -> None:
+    """Make Python's cyclic garbage collector run less often.
 
-    With its own thresholds the collector walks all connections and calls many times
-    a second: a leaf call costs about a tenth more (docs/design/connections.md).
+    With the default thresholds it traverses all connections and calls many times a
+    second, which makes calls noticeably slower (docs/design/connections.md).
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/src/lavendergap/entry/reading.py
+++ b/src/lavendergap/entry/reading.py
@@ -1,7 +1,7 @@
-"""Reads and watches of the platform, by the few hosts that watch it and by the others.
+"""Reads and watches the platform.
 
-A watch holder is told of each change; all others list the versions now and then, as a
-net for when the holders are cut off. What is read goes to `take`.
+The few watch holders receive each change. The other hosts list the versions from time
+to time, in case the holders are partitioned.
 """
 
 from collections.abc import Callable
@@ -25,19 +25,19 @@
 from .fleet import Fleet
 
 INDEX_PREFIX = "index/"
-MIN_RETRY_DELAY = 0.25
-MAX_RETRY_DELAY = 5.0
+MIN_RETRY_DELAY_S = 0.25
+MAX_RETRY_DELAY_S = 5.0
 
-MAX_WATCH_RETRY_DELAY = 1.5
-"""Of the few watch holders; part of the time that an edit takes after an outage."""
+MAX_WATCH_RETRY_DELAY_S = 1.5
+"""Retry limit of the watch holders; adds to the delay of an edit after an outage."""
 
 
 class PlatformReader:
-    """Brings what the platform has newer than this host.
+    """Reads objects that are newer on the platform than on this host.
 
-    `take` puts an object in force and tells whether it could be read;
-    `get_newest_seen` returns the version beyond which an object is news;
-    `note_answer` is called when the platform has told what the settings are.
+    `apply_object` activates an object and returns whether it could be read;
+    `get_newest_seen` returns the newest version of an object that needs no reading;
+    `on_settings_read` is called after the platform's settings have been read.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
         get_members: Callable[[], tuple[Member, ...]],
         get_n_holders: Callable[[], int],
         get_newest_seen: Callable[[str], int],
-        take: Callable[[str, int, bytes], bool],
-        note_answer: Callable[[], None],
+        apply_object: Callable[[str, int, bytes], bool],
+        on_settings_read: Callable[[], None],
     ) -> None:
         self._key = settings_key
         self._platform = platform
@@ -60,40 +60,40 @@
         self._get_members = get_members
         self._get_n_holders = get_n_holders
         self._get_newest_seen = get_newest_seen
-        self._take = take
-        self._note_answer = note_answer
+        self._apply_object = apply_object
+        self._on_settings_read = on_settings_read
         self._holders: tuple[str, ...] | None = None
         self._holders_changed = trio.Event()
 
     async def run(self) -> None:
-        """Read the platform, then watch it or, mostly, leave that to others."""
+        """Read the platform, then watch it while this host is a watch holder."""
         n_failures = 0
         while not await self.read_all():
             n_failures += 1
-            await self._pause(n_failures, limit=MAX_RETRY_DELAY)
+            await self._back_off(n_failures, limit=MAX_RETRY_DELAY_S)
         while True:
             if self._holds_watch():
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._watch_settings)
                     nursery.start_soon(self._watch_index)
             else:
-                await self._wait_for_turn()
+                await self._wait_for_watch_or_read()
             await self.read_all()
 
-    def note_members(self) -> None:
-        """Work out anew who holds the watches; to be called when members change."""
+    def handle_member_change(self) -> None:
+        """Choose the watch holders again; to be called when members change."""
         self._holders = None
         self._holders_changed.set()
 
     def _holds_watch(self) -> bool:
-        # Ranking 550 members takes a millisecond, so it is not done without need.
+        # Cached until members change, since ranking a large fleet is slow.
         if self._holders is None:
             self._holders = choose_watch_holders(
                 self._get_members(), self._get_n_holders()
             )
         return self._fleet.own_name in self._holders
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_for_watch_or_read(self) -> None:
         """Wait until this host becomes a watch holder, or its own read is due."""
         delay = draw_read_delay(len(self._fleet.live), self._random)
         with trio.move_on_after(delay):
@@ -101,33 +101,33 @@
                 self._holders_changed = trio.Event()
                 await self._holders_changed.wait()
 
-    async def _pause(
+    async def _back_off(
         self, n_failures: int, *, limit: float, answer: object = None
     ) -> None:
-        """Wait before the platform is tried again, longer with each failure."""
-        delay = min(limit, MIN_RETRY_DELAY * 2 ** min(n_failures, 10))
+        """Wait before the next attempt, longer after each failure."""
+        delay = min(limit, MIN_RETRY_DELAY_S * 2 ** min(n_failures, 10))
         delay *= self._random.uniform(0.5, 1.5)
         if isinstance(answer, Unavailable):
             delay = max(delay, answer.retry_after_s)
         await trio.sleep(delay)
 
     async def read_all(self) -> bool:
-        """Read what is newer than ours; tell whether the settings are known now."""
+        """Read newer objects; return whether the platform's settings were read."""
         settings = await self._platform.list_objects(self._key)
         index = await self._platform.list_objects(INDEX_PREFIX)
         if not isinstance(settings, Listing) or not isinstance(index, Listing):
             return False
-        is_whole = await self._take_listing(settings)
-        await self._take_listing(index)
+        is_whole = await self._apply_listing(settings)
+        await self._apply_listing(index)
         if is_whole:
-            self._note_answer()
+            self._on_settings_read()
         return is_whole
 
     async def _watch_settings(self) -> None:
-        """Watch the settings for as long as this host is one of the watch holders.
+        """Watch the settings while this host is one of the watch holders.
 
-        The watch brings the text itself. Were it read with a second call, an outage
-        between the two would keep an accepted edit from everyone until its end.
+        The watch returns the text itself. With a second call to read it, an outage
+        between the two would withhold an accepted edit from all hosts.
         """
         n_failures = 0
         while self._holds_watch():
@@ -137,22 +137,22 @@
             )
             match answer:
                 case Found(version=version, value=value) if version > after:
-                    is_good = self._take(self._key, version, value)
+                    is_ok = self._apply_object(self._key, version, value)
                 case NotModified():
-                    is_good = True
+                    is_ok = True
                 case _:
-                    is_good = False
-            n_failures = 0 if is_good else n_failures + 1
+                    is_ok = False
+            n_failures = 0 if is_ok else n_failures + 1
             if n_failures:
-                await self._pause(
-                    n_failures, limit=MAX_WATCH_RETRY_DELAY, answer=answer
+                await self._back_off(
+                    n_failures, limit=MAX_WATCH_RETRY_DELAY_S, answer=answer
                 )
 
     async def _watch_index(self) -> None:
-        """Watch the index objects for as long as this host is a watch holder.
+        """Watch the index objects while this host is one of the watch holders.
 
-        The revision to watch from moves on only once all of a listing is taken:
-        moved on before a body was read, the watch would never tell of it again.
+        The revision to watch from advances only after all objects of a listing were
+        read; otherwise the watch would never return an unread one again.
         """
         n_failures = 0
         after = 0
@@ -162,22 +162,22 @@
             )
             match answer:
                 case Listing(revision=revision):
-                    is_good = await self._take_listing(answer) and revision > after
-                    after = revision if is_good else after
+                    is_ok = await self._apply_listing(answer) and revision > after
+                    after = revision if is_ok else after
                 case NotModified():
-                    is_good = True
+                    is_ok = True
                 case _:
-                    is_good = False
-            n_failures = 0 if is_good else n_failures + 1
+                    is_ok = False
+            n_failures = 0 if is_ok else n_failures + 1
             if n_failures:
-                await self._pause(
-                    n_failures, limit=MAX_WATCH_RETRY_DELAY, answer=answer
+                await self._back_off(
+                    n_failures, limit=MAX_WATCH_RETRY_DELAY_S, answer=answer
                 )
 
-    async def _take_listing(self, listing: Listing) -> bool:
-        """Read what is newer than ours; tell whether nothing is left to be read.
+    async def _apply_listing(self, listing: Listing) -> bool:
+        """Read the newer objects of a listing; return whether none is left to be read.
 
-        A read may come from a copy that lags behind the list; then it is left.
+        A read from a replica that lags behind the listing leaves the object unread.
         """
         is_whole = True
         for entry in listing.objects:
@@ -187,7 +187,7 @@
                 continue
             match await self._platform.get(entry.key):
                 case Found(version=version, value=value):
-                    is_taken = self._take(entry.key, version, value)
+                    is_taken = self._apply_object(entry.key, version, value)
                     is_whole &= is_taken and version >= entry.version
                 case _:
                     is_whole = False
--- a/src/lavendergap/entry/status.py
+++ b/src/lavendergap/entry/status.py
@@ -1,10 +1,10 @@
-"""What a process says of itself at /status; `lavendergap status` reads it."""
+"""The response of /status, which `lavendergap status` reads."""
 
 import msgspec
 
 
 class SettingsStatus(msgspec.Struct, kw_only=True):
-    """The settings in force here, and why a newer version is not, if so."""
+    """The active settings, and the problem of a newer version if there is one."""
 
     version: int
     source: str
@@ -22,7 +22,7 @@
 
 
 class ServiceStatus(msgspec.Struct, kw_only=True):
-    """A service as this host serves it now."""
+    """The snapshot of a service that this host serves now."""
 
     name: str
     version: int
@@ -30,7 +30,7 @@
 
 
 class HostStatus(msgspec.Struct, kw_only=True):
-    """The whole of /status."""
+    """The complete response of /status."""
 
     host: str
     data_centre: str
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -208,8 +208,10 @@
         self.nursery.start_soon(self.keeper.run)
 
     def hear(self, host, version, name=KEY):
-        """Have a peer's datagram tell of a version."""
-        self.keeper.note_advertised(host, (FetchDocument(name=name, at_least=version),))
+        """Receive a datagram in which a peer advertises a version."""
+        self.keeper.handle_advertisement(
+            host, (FetchDocument(name=name, at_least=version),)
+        )
 
     def give(self, host, version, body=None):
         """Let a peer have a version and tell of it."""
@@ -219,7 +221,7 @@
 
     def change_members(self, *members):
         self.members = members
-        self.keeper.note_members()
+        self.keeper.handle_member_change()
 
 
 @pytest.fixture
@@ -263,10 +265,10 @@
         bench.run()
         await trio.sleep(0.9)
         assert bench.versions == [5]
-        assert not bench.keeper.is_settled
+        assert not bench.keeper.is_ready
         await trio.sleep(0.3)
         assert bench.versions == [5, 7]
-        assert bench.keeper.is_settled
+        assert bench.keeper.is_ready
 
 
 class TestPlatformDown:
@@ -277,13 +279,13 @@
         bench.platform.is_down = True
         bench.run()
         await trio.sleep(60.0)
-        assert not bench.keeper.is_settled
+        assert not bench.keeper.is_ready
         assert bench.keeper.describe().source == Source.FILE
         bench.give(SECOND, 7)
         await trio.sleep(1.0)
         in_force = bench.keeper.describe()
         assert (in_force.version, in_force.source) == (7, Source.PEER)
-        assert bench.keeper.is_settled
+        assert bench.keeper.is_ready
         bench.platform.put(KEY, 8, make_value(8))
         bench.platform.is_down = False
         await trio.sleep(SOON)
@@ -297,10 +299,10 @@
         bench.platform.reads[KEY] = DOWN
         bench.run()
         await trio.sleep(5.0)
-        assert not bench.keeper.is_settled
+        assert not bench.keeper.is_ready
         bench.platform.reads.clear()
         await trio.sleep(SOON)
-        assert bench.keeper.is_settled
+        assert bench.keeper.is_ready
         assert bench.versions == [7]
 
     async def test_just_after_acceptance(self, autojump_clock, bench):
@@ -409,7 +411,7 @@
         bench.platform.put(INDEX, 6, b"{")
         bench.run()
         await trio.sleep(1.0)
-        assert bench.keeper.is_settled
+        assert bench.keeper.is_ready
 
     @pytest.mark.parametrize(
         "body", [b"\x00other form", make_value(8), make_body(8)[1:]]
--- a/tests/test_livehosts.py
+++ b/tests/test_livehosts.py
@@ -139,7 +139,7 @@
         for now in (1.0, 1.1, 1.2):
             fleet.shun("host-1", now=now)
         assert probed == ["host-1"]
-        fleet.forgive(now=9.0)
+        fleet.expire_avoided(now=9.0)
         fleet.shun("host-1", now=9.0)
         assert probed == ["host-1"] * 2
 
