--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -313,7 +313,7 @@
     def _apply(self) -> None:
         """Apply the current routes, servers and evacuations to the groups run here."""
         index = self._active_config.index
-        if index is None or not self._feeds.has_evacuation_list:
+        if index is None or not self._feeds.may_use_servers:
             return
         limits = index.table.limits
         self._limits.idle_timeout = limits.idle_timeout_ms / 1_000
--- a/src/lavendergap/entry/hostfeeds.py
+++ b/src/lavendergap/entry/hostfeeds.py
@@ -81,8 +81,8 @@
                 nursery.start_soon(reader.run)
 
     @property
-    def has_evacuation_list(self) -> bool:
-        """Whether the list of evacuated data centres has been read, if there is one.
+    def may_use_servers(self) -> bool:
+        """Whether the evacuations have been read, where the platform has them.
 
         Before that no server may be used: a host that has just started would send
         requests to servers in a data centre that an operator has evacuated.
@@ -98,7 +98,7 @@
         """Return which feed this host still lacks to serve requests, or ""."""
         if not self._servers.is_loaded:
             return "no servers from the store or a peer yet"
-        if not self.has_evacuation_list:
+        if not self.may_use_servers:
             return "no evacuations from the store or a peer yet"
         if not self._strikes.is_loaded:
             return "no held back requests from the store or a peer yet"
