--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""How gateway hosts find each other through the store, and what that asks of it."""
+"""Discovery of gateway hosts through the store, and the calls that it costs."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -15,7 +15,7 @@
 from lavendergap.state.outcome import Reason, Step
 from lavendergap.state.settings import Address
 
-N_PLACES = 6
+N_DATA_CENTRES = 6
 
 
 def make_address(number: int) -> Address:
@@ -25,7 +25,7 @@
 def make_member(number: int) -> Member:
     return Member(
         name=f"host-{number}",
-        data_centre=f"dc-{number % N_PLACES}",
+        data_centre=f"dc-{number % N_DATA_CENTRES}",
         incarnation=1,
         peers=make_address(number),
     )
@@ -47,11 +47,11 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Store:
-    """The registered hosts, as all adapters share them; counts what it is asked."""
+class FakeStore:
+    """The registered hosts, shared by all adapters; counts reads and writes."""
 
     entries: dict[str, bytes] = field(default_factory=dict)
-    is_away: bool = False
+    is_down: bool = False
     n_lists: int = 0
     n_writes: int = 0
 
@@ -61,14 +61,14 @@
 
     async def list_feed(self, feed, *, may_lag):
         self.n_lists += 1
-        if self.is_away:
+        if self.is_down:
             return StoreLost(step=Step.CONNECT, reason=Reason.REFUSED_CONNECTION)
         entries = [FeedEntry(name=n, body=b) for n, b in self.entries.items()]
         return FeedListing(revision=1, entries=tuple(entries))
 
     async def register_host(self, name, address):
         self.n_writes += 1
-        if self.is_away:
+        if self.is_down:
             return False
         self.entries[name] = str(address).encode()
         return True
@@ -78,8 +78,8 @@
         return Address(ip=ip, port=int(port))
 
 
-class View:
-    """What one host knows of the fleet: itself, and whom `others` names."""
+class FakeMembership:
+    """The members as one host sees them: itself and `others`."""
 
     def __init__(self, number: int) -> None:
         self.own = make_member(number)
@@ -99,93 +99,99 @@
         return frozenset(member.name for member in self.members())
 
 
-def start(number: int, store: Store, nursery) -> View:
-    view = View(number)
+def start_discovery(number: int, store: FakeStore, nursery) -> FakeMembership:
+    membership = FakeMembership(number)
     discovery = Discovery(
         host=make_host(number),
         adapter=cast(Any, store),
-        membership=cast(Any, view),
+        membership=cast(Any, membership),
         random=Random(number),
     )
     nursery.start_soon(discovery.run)
-    return view
+    return membership
 
 
 class TestStart:
-    # All hosts start together and reach the seeds. Each that writes to the store where
-    # it is pays a call, and two after a loss of power, though a newcomer needs one
-    # entry only.
+    # All hosts start together and reach the seeds. Guards against writes to the store
+    # by each of them: a new host needs only one entry to find the others.
 
     @pytest.mark.parametrize("n_hosts", [195, 550])
-    async def test_a_fleet_writes_three_entries_a_data_centre(
+    async def test_three_hosts_of_each_data_centre_register(
         self, autojump_clock, nursery, n_hosts
     ):
-        store = Store()
-        views = [start(number, store, nursery) for number in range(n_hosts)]
+        store = FakeStore()
+        memberships = [
+            start_discovery(number, store, nursery) for number in range(n_hosts)
+        ]
         await trio.sleep(0.4)
-        for view in views:
-            view.others = [make_member(n) for n in range(n_hosts)]
+        for membership in memberships:
+            membership.others = [make_member(n) for n in range(n_hosts)]
         await trio.sleep(20.0)
-        assert store.n_writes == REGISTERED_A_PLACE * N_PLACES
+        assert store.n_writes == REGISTERED_A_PLACE * N_DATA_CENTRES
         assert store.n_lists <= n_hosts + 2 * store.n_writes
 
-    async def test_after_a_loss_of_power_nothing_is_written(
+    async def test_hosts_with_valid_entries_write_nothing_after_a_restart(
         self, autojump_clock, nursery
     ):
-        store = Store()
+        store = FakeStore()
         for number in range(20):
             store.entries[f"host-{number}"] = str(make_address(number)).encode()
-        views = [start(number, store, nursery) for number in range(20)]
+        memberships = [start_discovery(number, store, nursery) for number in range(20)]
         await trio.sleep(0.4)
-        for view in views:
-            view.others = [make_member(n) for n in range(20)]
+        for membership in memberships:
+            membership.others = [make_member(n) for n in range(20)]
         await trio.sleep(20.0)
         assert store.n_writes == 0
 
-    async def test_a_host_with_another_address_writes_it(self, autojump_clock, nursery):
-        store = Store(entries={"host-1": str(make_address(7)).encode()})
-        start(1, store, nursery)
+    async def test_a_host_with_a_new_address_registers_again(
+        self, autojump_clock, nursery
+    ):
+        store = FakeStore(entries={"host-1": str(make_address(7)).encode()})
+        start_discovery(1, store, nursery)
         await trio.sleep(3.0)
         assert store.entries["host-1"] == str(make_address(1)).encode()
 
 
 class TestAlone:
-    async def test_two_whose_seeds_are_down_find_each_other(
+    async def test_two_hosts_without_seeds_find_each_other(
         self, autojump_clock, nursery
     ):
-        # No seed answers: each registers within seconds and finds the other's entry.
-        store = Store()
-        first, second = start(1, store, nursery), start(2, store, nursery)
+        # No seed answers: each host registers and finds the other's entry.
+        store = FakeStore()
+        first, second = (
+            start_discovery(1, store, nursery),
+            start_discovery(2, store, nursery),
+        )
         await trio.sleep(8.0)
         assert make_address(2) in first.hints
         assert make_address(1) in second.hints
 
-    async def test_a_store_that_is_away_is_asked_again(self, autojump_clock, nursery):
-        store = Store(is_away=True)
-        start(1, store, nursery)
+    async def test_an_unavailable_store_is_asked_again(self, autojump_clock, nursery):
+        store = FakeStore(is_down=True)
+        start_discovery(1, store, nursery)
         await trio.sleep(10.0)
         assert 3 <= store.n_lists <= 12
-        store.is_away = False
+        store.is_down = False
         await trio.sleep(4.0)
         assert "host-1" in store.entries
 
 
 class TestLosses:
-    async def test_others_register_for_those_that_are_gone(
+    async def test_other_hosts_register_in_place_of_lost_ones(
         self, autojump_clock, nursery
     ):
-        # All registered hosts of a data centre are lost for good, with their entries
-        # still there. A newcomer could reach nobody of it; three others register.
-        store = Store()
-        numbers = range(0, 12 * N_PLACES, N_PLACES)
-        views = {n: start(n, store, nursery) for n in numbers}
-        for view in views.values():
-            view.others = [make_member(n) for n in numbers]
+        # All registered hosts of a data centre are lost, while their entries remain. If
+        # no others registered, a new host could reach no host of it.
+        store = FakeStore()
+        numbers = range(0, 12 * N_DATA_CENTRES, N_DATA_CENTRES)
+        memberships = {n: start_discovery(n, store, nursery) for n in numbers}
+        for membership in memberships.values():
+            membership.others = [make_member(n) for n in numbers]
         await trio.sleep(10.0)
         first = set(store.entries)
         assert len(first) == REGISTERED_A_PLACE
         left = [n for n in numbers if f"host-{n}" not in first]
         for n in left:
-            views[n].others = [make_member(other) for other in left]
+            memberships[n].others = [make_member(other) for other in left]
         await trio.sleep(10.0)
         assert len(store.entries) == 2 * REGISTERED_A_PLACE
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""What other writers leave in the store: it names no server, and hides none."""
+"""Invalid entries in the store: they are skipped and hide no valid ones."""
 
 import contextlib
 import json
@@ -68,19 +68,19 @@
 
 
 class TestServer:
-    def test_one_that_tells_when_it_started(self):
+    def test_an_entry_with_the_start_time_of_the_server(self):
         server = entries.read_server("i-1", encode(born=1_700_000_000_123))
         assert server.started_at_ms == 1_700_000_000_123
         assert server != entries.read_server("i-1", encode(born=1_700_000_000_124))
 
-    def test_one_of_an_older_deployment(self):
+    def test_an_entry_without_a_start_time(self):
         assert entries.read_server("i-1", encode()).started_at_ms == 0
 
-    def test_what_nobody_knows_yet_is_passed_over(self):
+    def test_an_unknown_field_is_ignored(self):
         assert entries.read_server("i-1", encode(colour="red")).slots == 2
 
     @pytest.mark.parametrize("wrong", WRONG_FIELDS, ids=str)
-    def test_a_field_that_makes_no_sense(self, wrong):
+    def test_a_field_with_an_invalid_value(self, wrong):
         with pytest.raises(ValueError):
             entries.read_server("i-1", encode(**wrong))
 
@@ -91,7 +91,7 @@
             entries.read_server("i-1", json.dumps(rest).encode())
 
     @pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"null", b"[]", b"{", DEEP])
-    def test_bytes_that_are_no_entry(self, body):
+    def test_a_body_that_is_no_entry(self, body):
         with pytest.raises(ValueError):
             entries.read_server("i-1", body)
 
@@ -131,58 +131,57 @@
         assert isinstance(server.started_at_ms, int)
 
 
-def make_in_force() -> ActiveConfig:
-    # Only its way of reading servers is asked of the adapter here.
+def make_active_config() -> ActiveConfig:
+    # Only the adapter's reading of servers is used here.
     adapter = PlatformAdapter.__new__(PlatformAdapter)
     return ActiveConfig(adapter=adapter, apply=lambda: None)
 
 
 class TestInForce:
     def test_an_unknown_entry_is_no_server_and_the_others_are(self):
-        in_force = make_in_force()
-        in_force.use_servers({"i-1": encode(), "i-2": encode(state="odd")}, 1)
-        assert [server.server_id for server in in_force.servers] == ["i-1"]
+        config = make_active_config()
+        config.use_servers({"i-1": encode(), "i-2": encode(state="odd")}, 1)
+        assert [server.server_id for server in config.servers] == ["i-1"]
 
-    def test_it_is_told_once_until_it_can_be_read(self, caplog):
-        # A line with each change of the registry would be a line a second for as long
-        # as the entry is there, on every host.
+    def test_an_invalid_entry_is_logged_once_until_it_is_valid(self, caplog):
+        # Guards against a log line on every host with each change of the registry.
         caplog.set_level(logging.INFO, logger="lavendergap")
-        in_force = make_in_force()
+        config = make_active_config()
         for revision in range(5):
             bodies = {"i-1": encode(seq_no=revision), "i-2": b"%d" % revision}
-            in_force.use_servers(bodies, revision)
+            config.use_servers(bodies, revision)
         assert len(caplog.records) == 1
-        in_force.use_servers({"i-2": encode()}, 6)
-        in_force.use_servers({"i-2": b"x"}, 7)
+        config.use_servers({"i-2": encode()}, 6)
+        config.use_servers({"i-2": b"x"}, 7)
         assert len(caplog.records) == 2
 
-    def test_nonsense_that_changes_is_no_news(self):
-        in_force = make_in_force()
-        copy = FeedCopy(lapse_grace=2.0, summarize=in_force.summarize_server)
-        told = tuple(FeedChange(name="i-2", body=b) for b in (b"\xff", b"{}", DEEP))
-        assert copy.take_changes(FeedChanges(revision=1, changes=told[:1]), now=0.0)
-        assert not copy.is_news(told[1])
-        assert not copy.is_news(told[2])
+    def test_changes_between_invalid_entries_are_irrelevant(self):
+        config = make_active_config()
+        copy = FeedCopy(lapse_grace=2.0, summarize=config.summarize_server)
+        changes = tuple(FeedChange(name="i-2", body=b) for b in (b"\xff", b"{}", DEEP))
+        assert copy.take_changes(FeedChanges(revision=1, changes=changes[:1]), now=0.0)
+        assert not copy.is_news(changes[1])
+        assert not copy.is_news(changes[2])
         assert copy.is_news(FeedChange(name="i-2", body=encode()))
 
-    def test_nonsense_over_a_server_takes_it_out_of_use(self):
-        in_force = make_in_force()
-        copy = FeedCopy(lapse_grace=2.0, summarize=in_force.summarize_server)
+    def test_an_invalid_entry_replaces_a_valid_one(self):
+        config = make_active_config()
+        copy = FeedCopy(lapse_grace=2.0, summarize=config.summarize_server)
         good = FeedChange(name="i-1", body=encode())
         copy.take_changes(FeedChanges(revision=1, changes=(good,)), now=0.0)
         wrong = FeedChange(name="i-1", body=encode(address="nowhere"))
         assert copy.is_news(wrong)
         copy.take_changes(FeedChanges(revision=2, changes=(wrong,)), now=1.0)
-        in_force.use_servers(copy.entries, 2)
-        assert in_force.servers == ()
+        config.use_servers(copy.entries, 2)
+        assert config.servers == ()
 
 
-def show(name: str, spec: bytes) -> bytes:
+def encode_object(name: str, spec: bytes) -> bytes:
     meta = json.dumps({"name": name, "revision": 3}).encode()
     return b'{"meta":%s,"spec":%s,"status":null}' % (meta, spec)
 
 
-def page(*items: bytes, has_more: bool = False) -> bytes:
+def encode_page(*items: bytes, has_more: bool = False) -> bytes:
     more = b"true" if has_more else b"false"
     body = b'{"items":[%s],"has_more":%s,"current_rev":9}'
     return body % (b",".join(items), more)
@@ -204,53 +203,57 @@
     @pytest.mark.parametrize("spec", GARBAGE, ids=lambda spec: repr(spec[:9]))
     @pytest.mark.parametrize("place", [0, 1, 2])
     def test_bytes_that_cannot_be_read_hide_no_other_object(self, spec, place):
-        items = [show("a", encode()), show("b", encode()), show("c", encode())]
-        items[place] = show("abc"[place], spec)
-        found = pages.read_page(page(*items))
+        items = [
+            encode_object("a", encode()),
+            encode_object("b", encode()),
+            encode_object("c", encode()),
+        ]
+        items[place] = encode_object("abc"[place], spec)
+        found = pages.read_page(encode_page(*items))
         assert found.revision == 9
-        in_force = make_in_force()
-        in_force.use_servers({e.name: e.body for e in found.entries}, 9)
-        used = {server.server_id for server in in_force.servers}
+        config = make_active_config()
+        config.use_servers({e.name: e.body for e in found.entries}, 9)
+        used = {server.server_id for server in config.servers}
         assert used == {"a", "b", "c"} - {"abc"[place]}
 
     @pytest.mark.parametrize("spec", GARBAGE, ids=lambda spec: repr(spec[:9]))
-    def test_the_next_page_follows_a_page_of_one_that_cannot_be_read(self, spec):
-        found = pages.read_page(page(show("b", spec), has_more=True))
+    def test_a_page_with_only_an_unreadable_object_has_a_next_page(self, spec):
+        found = pages.read_page(encode_page(encode_object("b", spec), has_more=True))
         assert [entry.name for entry in found.entries] == ["b"]
         assert found.has_more
 
-    def test_an_object_without_a_name_is_left_out(self):
-        items = (b"{}", b'{"meta":{"name":7}}', b"7", show("c", encode()))
-        found = pages.read_page(page(*items))
+    def test_an_object_without_a_name_is_skipped(self):
+        items = (b"{}", b'{"meta":{"name":7}}', b"7", encode_object("c", encode()))
+        found = pages.read_page(encode_page(*items))
         assert [entry.name for entry in found.entries] == ["c"]
         assert found.n_unreadable == 3
 
-    def test_a_name_that_no_peer_could_be_told_is_left_out(self):
-        # Half of a surrogate pair: a string here, and no bytes on any channel.
+    def test_a_name_that_cannot_be_encoded_is_skipped(self):
+        # Half of a surrogate pair is a valid string, but cannot be encoded for a peer.
         broken = rb'{"meta":{"name":"\ud800"},"spec":}{}'
-        found = pages.read_page(page(broken, show("c", encode())))
+        found = pages.read_page(encode_page(broken, encode_object("c", encode())))
         assert [entry.name for entry in found.entries] == ["c"]
         assert found.n_unreadable == 1
 
-    def test_an_event_that_cannot_be_read_hides_no_other(self):
+    def test_an_unreadable_event_hides_no_other(self):
         events = [
-            b'{"deleted":false,"object":%s}' % show("a", encode()),
-            b'{"deleted":"perhaps","object":%s}' % show("b", encode()),
+            b'{"deleted":false,"object":%s}' % encode_object("a", encode()),
+            b'{"deleted":"perhaps","object":%s}' % encode_object("b", encode()),
             b'{"deleted":false,"object":{"meta":{}}}',
             b"[]",
-            b'{"deleted":true,"object":%s}' % show("c", b"null"),
+            b'{"deleted":true,"object":%s}' % encode_object("c", b"null"),
         ]
         body = b'{"events":[%s],"current_rev":12}' % b",".join(events)
-        told, n_unreadable = pages.read_events(body)
-        assert told.revision == 12
-        assert [(c.name, c.body is None) for c in told.changes] == [
+        result, n_unreadable = pages.read_events(body)
+        assert result.revision == 12
+        assert [(c.name, c.body is None) for c in result.changes] == [
             ("a", False),
             ("c", True),
         ]
         assert n_unreadable == 3
 
     @pytest.mark.parametrize("body", [b"", b"\xff", b"{}", b"[]", b'{"items":[]}'])
-    def test_what_is_no_page_is_a_value_error(self, body):
+    def test_a_body_that_is_no_page_is_a_value_error(self, body):
         with pytest.raises(ValueError):
             pages.read_page(body)
 
@@ -261,13 +264,13 @@
         )
     )
     @settings(deadline=None)
-    def test_good_objects_survive_any_bytes_between_them(self, written):
+    def test_valid_objects_are_read_between_any_bytes(self, written):
         items = []
         for name, spec in written:
-            items.append(show(f"x-{name}", spec))
-            items.append(show(f"good-{len(items)}", encode()))
+            items.append(encode_object(f"x-{name}", spec))
+            items.append(encode_object(f"good-{len(items)}", encode()))
         try:
-            found = pages.read_page(page(*items))
+            found = pages.read_page(encode_page(*items))
         except ValueError:
             return
         names = {entry.name for entry in found.entries}
@@ -277,16 +280,20 @@
 
 
 class TestStore:
-    async def test_a_listing_goes_on_behind_a_page_of_one_unreadable_object(self):
-        # The store hands out pages of one; the first object's bytes are no JSON. A
-        # listing that gave up there would leave the host without any server.
+    async def test_a_listing_continues_after_a_page_with_an_unreadable_object(self):
+        # The store returns pages of one object, and the first one is not JSON. Guards
+        # against a listing that ends there and leaves the host without servers.
         asked = []
 
         async def handle(request, connection):
             asked.append(request.query)
             if "after=" in request.query:
-                return Reply(status=200, headers=(), body=page(show("b", encode())))
-            body = page(show("a", b"}{"), has_more=True)
+                return Reply(
+                    status=200,
+                    headers=(),
+                    body=encode_page(encode_object("b", encode())),
+                )
+            body = encode_page(encode_object("a", b"}{"), has_more=True)
             return Reply(status=200, headers=(), body=body)
 
         async with trio.open_nursery() as nursery:
@@ -299,7 +306,7 @@
         assert [entry.name for entry in listing.entries] == ["a", "b"]
         assert len(asked) == 2
 
-    async def test_nonsense_in_the_registry_beside_servers(self):
+    async def test_invalid_entries_in_the_registry_beside_servers(self):
         standin = objectstore.ObjectStore()
         standin.put("servers", "i-1", ENTRY)
         nonsense: list[object] = [7, None, "\u0000", [], {"state": {}}]
@@ -311,6 +318,6 @@
             listing = await store.list_feed(SERVERS_FEED, may_lag=False)
             nursery.cancel_scope.cancel()
         assert isinstance(listing, FeedListing)
-        in_force = make_in_force()
-        in_force.use_servers({e.name: e.body for e in listing.entries}, 1)
-        assert [server.server_id for server in in_force.servers] == ["i-1"]
+        config = make_active_config()
+        config.use_servers({e.name: e.body for e in listing.entries}, 1)
+        assert [server.server_id for server in config.servers] == ["i-1"]
--- a/tests/test_livehosts.py
+++ b/tests/test_livehosts.py
@@ -1,4 +1,4 @@
-"""Members that change together, put in force on a gateway host."""
+"""Bursts of member changes, applied on a gateway host."""
 
 from dataclasses import replace
 from random import Random
@@ -34,7 +34,7 @@
 
 
 class Host:
-    """One host's view, told of members as if their datagrams had come."""
+    """One host, which receives members as if from datagrams."""
 
     def __init__(self) -> None:
         self.n_applied = 0
@@ -54,86 +54,80 @@
     def _apply(self) -> None:
         self.n_applied += 1
 
-    def hear(self, member: Member) -> None:
-        news = Gossip(source=member, documents=DocumentsDigest(), updates=())
-        self.membership.receive(news, sender=member.peers, now=trio.current_time())
+    def receive_member(self, member: Member) -> None:
+        gossip = Gossip(source=member, documents=DocumentsDigest(), updates=())
+        self.membership.receive(gossip, sender=member.peers, now=trio.current_time())
         for event in self.membership.take_events():
             self.live.take_event(event)
 
-    def accuse(self, suspect: Member) -> None:
-        """Hear from another host that one is suspect."""
+    def receive_suspect(self, suspect: Member) -> None:
+        """Receive from another host that `suspect` is suspect."""
         source = make_member(1 if suspect.name != "host-1" else 2)
-        news = Gossip(source=source, documents=DocumentsDigest(), updates=(suspect,))
-        self.membership.receive(news, sender=source.peers, now=trio.current_time())
+        gossip = Gossip(source=source, documents=DocumentsDigest(), updates=(suspect,))
+        self.membership.receive(gossip, sender=source.peers, now=trio.current_time())
         for event in self.membership.take_events():
             self.live.take_event(event)
 
 
 class TestManyAtOnce:
-    # All hosts start together, and each hears of all others within two seconds. Were
-    # owners ranked and groups built anew for each, a host of half a core would do
-    # nothing else for over a second, with callers at its port. What is put in force
-    # must grow with time, not with the number of hosts.
+    # Guards against ranking owners and building groups for each change of a burst,
+    # which keeps a small host busy while callers wait.
 
     @pytest.mark.parametrize("n_hosts", [195, 550])
-    async def test_a_fleet_that_starts_is_put_in_force_some_twenty_times(
+    async def test_changes_of_a_starting_fleet_are_applied_in_batches(
         self, autojump_clock, nursery, n_hosts
     ):
         host = Host()
         nursery.start_soon(host.live.run)
         for number in range(1, n_hosts):
-            host.hear(make_member(number))
+            host.receive_member(make_member(number))
             await trio.sleep(2.0 / n_hosts)
         await trio.sleep(2 * PAUSE)
         assert host.n_applied <= 2.0 / PAUSE + 2
         assert len(host.fleet.live) == n_hosts
 
-    async def test_the_first_change_is_put_in_force_at_once(
-        self, autojump_clock, nursery
-    ):
+    async def test_the_first_change_is_applied_at_once(self, autojump_clock, nursery):
         host = Host()
         nursery.start_soon(host.live.run)
-        host.hear(make_member(1))
+        host.receive_member(make_member(1))
         await trio.testing.wait_all_tasks_blocked()
         assert host.fleet.live == {"host-0", "host-1"}
 
-    async def test_the_last_change_of_a_burst_is_put_in_force(
-        self, autojump_clock, nursery
-    ):
+    async def test_the_last_change_of_a_burst_is_applied(self, autojump_clock, nursery):
         host = Host()
         nursery.start_soon(host.live.run)
         for number in range(1, 4):
-            host.hear(make_member(number))
+            host.receive_member(make_member(number))
             await trio.testing.wait_all_tasks_blocked()
-        host.hear(replace(make_member(3), state=MemberState.LEAVING))
+        host.receive_member(replace(make_member(3), state=MemberState.LEAVING))
         await trio.sleep(2 * PAUSE)
         assert host.fleet.live == {"host-0", "host-1", "host-2"}
         assert "host-3" not in host.placement.rank("some group")
 
 
 class TestSuspects:
-    async def test_a_suspect_is_asked_last_and_keeps_its_groups(
+    async def test_a_suspect_is_ranked_last_and_keeps_its_groups(
         self, autojump_clock, nursery
     ):
-        """Guards against each host losing a query of its own at a host that is gone."""
+        """Guards against each host losing a query of its own to a lost host."""
         host = Host()
         nursery.start_soon(host.live.run)
         for number in range(1, 4):
-            host.hear(make_member(number))
+            host.receive_member(make_member(number))
         await trio.sleep(2 * PAUSE)
         ranked = host.fleet.rank("some group")
         first = int(ranked[0].rpartition("-")[2]) or int(ranked[1].rpartition("-")[2])
         suspect = replace(make_member(first), state=MemberState.SUSPECT)
-        host.accuse(suspect)
+        host.receive_suspect(suspect)
         await trio.sleep(2 * PAUSE)
         assert host.fleet.rank("some group")[-1] == suspect.name
         assert set(host.fleet.rank("some group")) == set(ranked)
-        host.hear(replace(make_member(first), refutations=1))
+        host.receive_member(replace(make_member(first), refutations=1))
         await trio.sleep(2 * PAUSE)
         assert host.fleet.rank("some group") == ranked
 
-    def test_a_host_that_was_passed_over_is_probed_once(self):
-        """Guards against waiting for its turn, and against a probe for each query."""
+    def test_an_avoided_host_is_probed_once(self):
+        """Guards against a late probe, and against a probe for each query."""
         probed: list[str] = []
         fleet = Fleet(own_name="host-0", settings=SETTINGS, probe=probed.append)
         for now in (1.0, 1.1, 1.2):
@@ -145,17 +139,17 @@
 
 
 class TestReplaced:
-    async def test_a_host_that_came_back_elsewhere_is_found_there(
+    async def test_the_new_address_of_a_replaced_host_is_used(
         self, autojump_clock, nursery
     ):
         host = Host()
         nursery.start_soon(host.live.run)
-        host.hear(make_member(1))
+        host.receive_member(make_member(1))
         await trio.sleep(2 * PAUSE)
         n_before = host.n_applied
         moved = Address(ip="127.0.0.1", port=9_999)
-        host.hear(replace(make_member(1, incarnation=2), peers=moved))
+        host.receive_member(replace(make_member(1, incarnation=2), peers=moved))
         await trio.sleep(2 * PAUSE)
         assert host.fleet.get_address("host-1") == moved
-        # Nothing else depends on where a peer listens.
+        # Nothing else depends on the address of a peer.
         assert host.n_applied == n_before
