--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""The keeper of documents on a virtual clock, with a fake platform and fake peers."""
+"""DocumentKeeper on a virtual clock, with a fake platform and fake peers."""
 
 from random import Random
 from typing import cast
@@ -40,8 +40,8 @@
 OWN, SECOND, THIRD = "dc0-0", "dc1-0", "dc0-1"
 HOSTS = {OWN: "dc0", SECOND: "dc1", THIRD: "dc0"}
 PORTS = {name: 8100 + place for place, name in enumerate(HOSTS)}
-# Within this an edit has to be in force everywhere; most of it is left to gossip.
-SOON = 11.0
+# An edit has to be active on all hosts within this time, most of it left to gossip.
+EDIT_LIMIT_S = 11.0
 DOWN = Unavailable(step=Step.RECEIVE, reason=Reason.SERVER_ERROR, sent=True)
 SILENT = Unavailable(step=Step.RECEIVE, reason=Reason.SILENT_CONNECTION, sent=True)
 TEXT = """{"deployment": "demo", "platform": "127.0.0.1:7000", "deadline_ms": %s,
@@ -52,13 +52,13 @@
 
 
 def make_value(version, deadline_ms=None):
-    """Return the platform's object; its deadline tells which version it is."""
+    """Return the platform's object; its deadline identifies the version."""
     text = TEXT % (deadline_ms or 100 + version)
     return encode_settings_object(SettingsObject(text=text))
 
 
 def make_body(version):
-    """Return the form that peers hand out."""
+    """Return the document in the form that peers send."""
     return encode_settings(resolve_settings(make_value(version), KEY, version))
 
 
@@ -79,14 +79,14 @@
     )
 
 
-def count_garbled(port):
+def count_unreadable(port):
     labels = {"port": port, "problem": "garbled document"}
     name = "lavendergap_rejected_input_total"
     return REGISTRY.get_sample_value(name, labels) or 0.0
 
 
 class FakePlatform:
-    """The object API; `reads` holds what `get` shows where it lags or lies."""
+    """The object API; `reads` overrides what `get` returns for a key."""
 
     def __init__(self):
         self.objects = {}
@@ -129,16 +129,16 @@
             await trio.sleep(wait_s + DEFAULT_LIMIT_S)
             return SILENT
         with trio.move_on_after(wait_s):
-            while not (news := find()):
+            while not (result := find()):
                 await self._written.wait()
-            return news
+            return result
         return NotModified()
 
     async def watch(self, key, *, after, wait_s):
         def find():
             found = self.reads.get(key) or self.objects.get(key)
-            is_lying = key in self.reads
-            return found if found and (is_lying or found.version > after) else None
+            is_overridden = key in self.reads
+            return found if found and (is_overridden or found.version > after) else None
 
         return await self._wait(find, wait_s)
 
@@ -151,7 +151,7 @@
 
 
 class FakePeer:
-    """A channel to a peer that has `document`; without one it is lost when asked."""
+    """A channel to a peer that has `document`; without one, requests fail."""
 
     def __init__(self, document=None, delay=0.01):
         self.document = document
@@ -174,7 +174,7 @@
 
 
 class Bench:
-    """A keeper between the platform and its peers; `used` is what came in force."""
+    """A keeper with its platform and peers; `used` are the activated settings."""
 
     def __init__(self, nursery, *, platform=None, members=(OWN,)):
         self.platform = platform or FakePlatform()
@@ -207,17 +207,17 @@
     def run(self):
         self.nursery.start_soon(self.keeper.run)
 
-    def hear(self, host, version, name=KEY):
-        """Receive a datagram in which a peer advertises a version."""
+    def advertise(self, host, version, name=KEY):
+        """Deliver a datagram in which a peer advertises a version."""
         self.keeper.handle_advertisement(
             host, (FetchDocument(name=name, at_least=version),)
         )
 
-    def give(self, host, version, body=None):
-        """Let a peer have a version and tell of it."""
+    def offer(self, host, version, body=None):
+        """Give a peer a version and advertise it."""
         body = body or make_body(version)
         self.peers[host] = FakePeer(Document(name=KEY, version=version, body=body))
-        self.hear(host, version)
+        self.advertise(host, version)
 
     def change_members(self, *members):
         self.members = members
@@ -231,10 +231,9 @@
 
 class TestNeverReverts:
     async def test_stale_reads_and_lagging_watches(self, autojump_clock, bench):
-        # Version 7 came from a peer. The platform's copy that answers here lags:
-        # its lists, reads and watches still show 6, and callers would be served
-        # by settings that the operator has replaced.
-        bench.give(SECOND, 7)
+        # Version 7 came from a peer, while the platform's replica still returns 6.
+        # Guards against serving with settings that the operator has replaced.
+        bench.offer(SECOND, 7)
         await trio.sleep(1.0)
         bench.platform.put(KEY, 6, make_value(6))
         bench.platform.reads[KEY] = Found(key=KEY, version=6, value=make_value(6))
@@ -242,26 +241,24 @@
         await trio.sleep(600.0)
         assert bench.versions == [7]
         assert bench.keeper.describe().version == 7
-        # A watch that is answered at once with nothing new must not be repeated
-        # as fast as the platform answers.
+        # A watch that returns at once without a change is not repeated in a busy loop.
         assert bench.platform.n_calls < 4 * 600
 
     async def test_an_older_answer_of_a_peer(self, autojump_clock, bench):
         bench.platform.put(KEY, 7, make_value(7))
         bench.run()
         await trio.sleep(1.0)
-        bench.give(SECOND, 6)
+        bench.offer(SECOND, 6)
         await trio.sleep(5.0)
         assert bench.versions == [7]
 
     async def test_restart_with_a_platform_that_lags(self, autojump_clock, bench):
-        # A host restarts. The platform answers it with version 5, a peer tells of
-        # 7 at the same moment. Ready on 5, it would serve by replaced settings
-        # while its neighbours serve by 7.
+        # The platform returns version 5 while a peer advertises 7. Ready with 5, the
+        # host would serve with settings that are replaced on all other hosts.
         bench.platform.put(KEY, 5, make_value(5))
         slow = Document(name=KEY, version=7, body=make_body(7))
         bench.peers[SECOND] = FakePeer(slow, delay=1.0)
-        bench.hear(SECOND, 7)
+        bench.advertise(SECOND, 7)
         bench.run()
         await trio.sleep(0.9)
         assert bench.versions == [5]
@@ -272,42 +269,45 @@
 
 
 class TestPlatformDown:
-    async def test_at_start_the_newest_comes_from_peers(self, autojump_clock, bench):
-        # During an outage a host restarts with its old file. It is not ready, or
-        # it would serve by the file; it takes the newest from its peers, says so,
-        # and goes on to the platform's own word once that is back.
+    async def test_a_starting_host_gets_the_newest_version_from_peers(
+        self, autojump_clock, bench
+    ):
+        # Guards against serving with an old file after a restart during an outage, and
+        # against staying with a peer's version when the platform is back.
         bench.platform.is_down = True
         bench.run()
         await trio.sleep(60.0)
         assert not bench.keeper.is_ready
         assert bench.keeper.describe().source == Source.FILE
-        bench.give(SECOND, 7)
+        bench.offer(SECOND, 7)
         await trio.sleep(1.0)
-        in_force = bench.keeper.describe()
-        assert (in_force.version, in_force.source) == (7, Source.PEER)
+        active = bench.keeper.describe()
+        assert (active.version, active.source) == (7, Source.PEER)
         assert bench.keeper.is_ready
         bench.platform.put(KEY, 8, make_value(8))
         bench.platform.is_down = False
-        await trio.sleep(SOON)
-        in_force = bench.keeper.describe()
-        assert (in_force.version, in_force.source) == (8, Source.PLATFORM)
+        await trio.sleep(EDIT_LIMIT_S)
+        active = bench.keeper.describe()
+        assert (active.version, active.source) == (8, Source.PLATFORM)
 
-    async def test_between_the_list_and_the_read_at_start(self, autojump_clock, bench):
-        # The platform lists version 7 and fails before it shows it. A host that
-        # took the list for an answer would be ready with its file.
+    async def test_an_outage_between_the_listing_and_the_read_at_start(
+        self, autojump_clock, bench
+    ):
+        # The platform lists version 7 and fails before it is read. Guards against a
+        # host that becomes ready with its file.
         bench.platform.put(KEY, 7, make_value(7))
         bench.platform.reads[KEY] = DOWN
         bench.run()
         await trio.sleep(5.0)
         assert not bench.keeper.is_ready
         bench.platform.reads.clear()
-        await trio.sleep(SOON)
+        await trio.sleep(EDIT_LIMIT_S)
         assert bench.keeper.is_ready
         assert bench.versions == [7]
 
     async def test_just_after_acceptance(self, autojump_clock, bench):
-        # The platform accepts an edit, tells the watches and goes down before
-        # anybody can ask it for anything more.
+        # The platform accepts an edit, answers the watches and goes down before any
+        # other call.
         bench.run()
         await trio.sleep(1.0)
         bench.platform.put(KEY, 7, make_value(7))
@@ -316,10 +316,11 @@
         assert bench.versions == [7]
 
     @pytest.mark.parametrize("lag", [DOWN, Found(key=INDEX, version=6, value=b"{}")])
-    async def test_an_index_that_cannot_be_read_yet(self, autojump_clock, bench, lag):
-        # The watch tells of an index object; the read that follows fails, or comes
-        # from a copy that lags. Were the watch to go on from there, nobody would
-        # hear of the object again until the next one.
+    async def test_an_index_whose_read_fails_is_read_later(
+        self, autojump_clock, bench, lag
+    ):
+        # The read after a watch fails or comes from a lagging replica. Guards against a
+        # watch that advances and never returns the unread object again.
         bench.platform.put(INDEX, 6, make_index(6))
         bench.run()
         await trio.sleep(1.0)
@@ -332,19 +333,18 @@
 
 
 class TestRefused:
-    async def test_a_text_that_cannot_be_applied_is_named(self, autojump_clock, bench):
-        # An operator's edit is wrong in a way that only this release sees. The
-        # host goes on with what it has, says what is wrong and where, and takes
-        # the correction.
+    async def test_an_invalid_text_is_reported(self, autojump_clock, bench):
+        # An edit is invalid only for this release. The host keeps the old version,
+        # reports the problem and its place, and activates the correction.
         bench.platform.put(KEY, 7, make_value(7))
         bench.run()
         await trio.sleep(1.0)
         bench.platform.put(KEY, 8, make_value(8, deadline_ms='"soon"'))
         await trio.sleep(1.0)
-        in_force = bench.keeper.describe()
-        assert in_force.version == 7
-        assert "version 8" in in_force.problem
-        assert "deadline_ms" in in_force.problem
+        active = bench.keeper.describe()
+        assert active.version == 7
+        assert "version 8" in active.problem
+        assert "deadline_ms" in active.problem
         bench.platform.put(KEY, 9, make_value(9))
         await trio.sleep(1.0)
         assert bench.versions == [7, 9]
@@ -354,21 +354,22 @@
         "garbage",
         [b"", b"\xff\x00", b"[]", b'{"error": "try later"}', make_value(8)[:-9]],
     )
-    async def test_a_garbled_settings_object(self, autojump_clock, bench, garbage):
-        # The platform's answer is cut short or not ours at all, under the version
-        # of a good edit. It changes nothing and is counted; and the same version
-        # read again is taken, or the edit would never be in force here.
+    async def test_an_unreadable_settings_object_is_read_again(
+        self, autojump_clock, bench, garbage
+    ):
+        # The platform's answer for a valid edit is truncated or foreign. Guards against
+        # refusing that version for good, so that the edit never becomes active here.
         bench.platform.put(KEY, 7, make_value(7))
         bench.run()
         await trio.sleep(1.0)
-        n_before = count_garbled("platform")
+        n_before = count_unreadable("platform")
         bench.platform.reads[KEY] = Found(key=KEY, version=8, value=garbage)
         bench.platform.put(KEY, 8, make_value(8))
         await trio.sleep(30.0)
         assert bench.versions == [7]
         assert "version 8" in bench.keeper.describe().problem
-        # Tried again, but not as fast as it fails.
-        assert 5 <= count_garbled("platform") - n_before <= 60
+        # It is tried again, with back-off.
+        assert 5 <= count_unreadable("platform") - n_before <= 60
         bench.platform.reads.clear()
         await trio.sleep(5.0)
         assert bench.versions == [7, 8]
@@ -383,23 +384,23 @@
         bench.platform.reads[KEY] = Found(key=KEY, version=8, value=b"{")
         bench.platform.put(KEY, 8, make_value(8))
         await trio.sleep(1.0)
-        bench.give(SECOND, 8)
+        bench.offer(SECOND, 8)
         await trio.sleep(1.0)
-        in_force = bench.keeper.describe()
-        assert (in_force.version, in_force.problem) == (8, None)
+        active = bench.keeper.describe()
+        assert (active.version, active.problem) == (8, None)
 
-    async def test_a_garbled_index_object(self, autojump_clock, bench):
-        # Also one whose shares do not add up: answers would state a false coverage.
+    async def test_an_unreadable_index_object_is_ignored(self, autojump_clock, bench):
+        # Includes shares that do not add up: answers would state a wrong coverage.
         bench.platform.put(KEY, 1, make_value(1))
         bench.platform.put(INDEX, 6, make_index(6))
         bench.run()
         await trio.sleep(1.0)
-        n_before = count_garbled("platform")
+        n_before = count_unreadable("platform")
         bad = make_index(7).replace(b"1.0", b"0.5")
         for version, value in ((7, bad), (8, make_index(8)[:40])):
             bench.platform.put(INDEX, version, value)
             await trio.sleep(5.0)
-        assert count_garbled("platform") - n_before >= 2
+        assert count_unreadable("platform") - n_before >= 2
         assert [each.object_version for each in bench.used_index] == [6]
         bench.platform.put(INDEX, 9, make_index(9))
         await trio.sleep(2.0)
@@ -416,30 +417,28 @@
     @pytest.mark.parametrize(
         "body", [b"\x00other form", make_value(8), make_body(8)[1:]]
     )
-    async def test_a_peers_copy_that_cannot_be_read(
+    async def test_an_unreadable_copy_of_a_peer_is_read_from_the_platform(
         self, autojump_clock, nursery, body
     ):
-        # The fleet is being upgraded and newer hosts hand out a form unknown here
-        # (or a peer garbles it). The host must neither stop, nor ask each of them
-        # with each datagram, nor stay behind: the platform has the text.
+        # During an upgrade newer hosts send a form unknown here. Guards against a host
+        # that stops, asks again with each datagram, or does not read the platform.
         bench = Bench(nursery, members=())
         bench.platform.put(KEY, 7, make_value(7))
         bench.run()
         await trio.sleep(1.0)
-        n_before = count_garbled("peer")
+        n_before = count_unreadable("peer")
         bench.platform.put(KEY, 8, make_value(8))
         for _ in range(80):
-            bench.give(SECOND, 8, body)
-            bench.give(THIRD, 8, body)
+            bench.offer(SECOND, 8, body)
+            bench.offer(THIRD, 8, body)
             await trio.sleep(0.1)
-        assert count_garbled("peer") - n_before == 1
+        assert count_unreadable("peer") - n_before == 1
         assert bench.versions == [7, 8]
 
 
 class TestWatchHolder:
     async def test_the_next_takes_over_when_one_dies(self, autojump_clock, nursery):
-        # Another host holds the watches for all and dies. Until somebody takes
-        # over, nobody hears of an edit.
+        # The watch holder dies. Until another host takes over, no host sees an edit.
         bench = Bench(nursery)
         others = [make_member(name) for name in (SECOND, THIRD)]
         bench.change_members(*others)
@@ -454,15 +453,15 @@
         await trio.sleep(0.5)
         assert bench.versions == [7]
 
-    async def test_watches_that_went_silent(self, autojump_clock, bench):
-        # Something in the way has forgotten the connections of all holders: their
-        # watches hang, and an edit just accepted is told to nobody.
+    async def test_silent_watches_are_repeated(self, autojump_clock, bench):
+        # A middlebox has dropped the connections of all holders: their watches hang,
+        # and none returns an edit that was just accepted.
         bench.platform.is_silent = True
         bench.run()
         await trio.sleep(1.0)
         bench.platform.put(KEY, 7, make_value(7))
         bench.platform.is_silent = False
-        await trio.sleep(SOON - 1.0)
+        await trio.sleep(EDIT_LIMIT_S - 1.0)
         assert bench.versions == [7]
 
     async def test_one_that_is_no_holder_any_more_stops_watching(
@@ -474,12 +473,12 @@
         await trio.sleep(WATCH_WAIT_S + 1.0)
         n_before = bench.platform.n_calls
         await trio.sleep(2 * WATCH_WAIT_S)
-        # Its own read may come in that time, of two calls; the watches' would be four.
+        # Its periodic read may take two calls in that time; watches would take four.
         assert bench.platform.n_calls <= n_before + 2
 
     async def test_holders_cut_off_from_the_platform(self, autojump_clock, nursery):
-        # Both holders have lost the platform and keep their place. The others'
-        # own reads are then what brings an edit in.
+        # Both holders are partitioned from the platform but remain holders, so that
+        # only the other hosts' periodic reads find an edit.
         bench = Bench(nursery)
         bench.change_members(*[make_member(name) for name in (SECOND, THIRD)])
         bench.run()
@@ -490,42 +489,46 @@
 
 
 class TestFetch:
-    async def test_a_lost_channel_and_the_next_teller(self, autojump_clock, bench):
-        # The first to tell of a version is killed, its channel resets. The second
-        # told meanwhile, and its datagram is not repeated for seconds.
+    async def test_the_next_advertiser_is_asked_after_a_lost_channel(
+        self, autojump_clock, bench
+    ):
+        # The first advertiser is killed and its channel resets. The second one has
+        # advertised meanwhile and does not repeat its datagram for seconds.
         bench.peers[SECOND] = FakePeer(delay=1.0)
-        bench.hear(SECOND, 7)
+        bench.advertise(SECOND, 7)
         await trio.sleep(0.1)
-        bench.give(THIRD, 7)
+        bench.offer(THIRD, 7)
         await trio.sleep(2.0)
         assert bench.versions == [7]
 
-    async def test_a_lost_channel_is_tried_again_when_heard_again(
+    async def test_an_advertiser_is_asked_again_after_a_lost_channel(
         self, autojump_clock, bench
     ):
-        bench.hear(SECOND, 7)
+        bench.advertise(SECOND, 7)
         await trio.sleep(1.0)
         assert bench.versions == []
-        bench.give(SECOND, 7)
+        bench.offer(SECOND, 7)
         await trio.sleep(1.0)
         assert bench.versions == [7]
 
-    async def test_a_newer_version_told_during_a_fetch(self, autojump_clock, bench):
+    async def test_a_newer_version_advertised_during_a_fetch(
+        self, autojump_clock, bench
+    ):
         document = Document(name=KEY, version=7, body=make_body(7))
         bench.peers[SECOND] = FakePeer(document, delay=1.0)
-        bench.hear(SECOND, 7)
+        bench.advertise(SECOND, 7)
         await trio.sleep(0.5)
-        bench.give(THIRD, 8)
+        bench.offer(THIRD, 8)
         await trio.sleep(1.0)
         assert bench.versions == [7, 8]
 
-    async def test_a_peer_without_what_it_told_of(self, autojump_clock, bench):
+    async def test_a_peer_without_the_advertised_version(self, autojump_clock, bench):
         none = Document(name=KEY, version=0, body=b"")
         other = Document(name=INDEX, version=9, body=make_index(9))
         bench.peers[SECOND] = FakePeer(none)
         bench.peers[THIRD] = FakePeer(other)
-        bench.hear(SECOND, 7)
-        bench.hear(THIRD, 7)
+        bench.advertise(SECOND, 7)
+        bench.advertise(THIRD, 7)
         await trio.sleep(1.0)
         assert bench.versions == []
         assert bench.used_index == []
