--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -16,7 +16,7 @@
 )
 
 SHARDS = [f"shard{n}" for n in range(6)]
-PLACES = ("ptl-a", "ptl-b")
+DATA_CENTRES = ("ptl-a", "ptl-b")
 EVACUATED = "ptl-a"
 
 
@@ -24,16 +24,16 @@
 async def platform(tmp_path):
     async with open_platform(tmp_path) as platform:
         for group in (*SHARDS, "desk"):
-            for place in PLACES:
-                await platform.add_leaf(group, place)
+            for data_centre in DATA_CENTRES:
+                await platform.add_leaf(group, data_centre)
         platform.write_routes(
             3, [make_search_route("/all/", SHARDS), make_one_route("/one/", "desk")]
         )
         yield platform
 
 
-async def ask_all(platform: Platform, gateways: list[Gateway]) -> None:
-    """Make a search and a lookup at each host; all are answered, and in full."""
+async def request_all(platform: Platform, gateways: list[Gateway]) -> None:
+    """Send a search and a lookup to each host; check that all answers are complete."""
     for gateway in gateways:
         found = await platform.request(gateway, "/all/x")
         assert found.status == 200
@@ -41,34 +41,36 @@
         assert (await platform.request(gateway, "/one/y")).status == 200
 
 
-async def ask_for(platform: Platform, gateways: list[Gateway], seconds: float) -> None:
+async def request_for(
+    platform: Platform, gateways: list[Gateway], seconds: float
+) -> None:
     with trio.move_on_after(seconds):
         while True:
-            await ask_all(platform, gateways)
+            await request_all(platform, gateways)
             await trio.sleep(0.05)
 
 
 class TestEvacuation:
     async def test_no_host_sends_to_an_evacuated_data_centre(self, platform):
-        """Guards against hosts near the servers that go on calling them."""
+        """Guards against hosts near the servers that continue to call them."""
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
-        await ask_all(platform, gateways)
+        await request_all(platform, gateways)
         platform.evacuate(EVACUATED)
-        await ask_for(platform, gateways, EVACUATE_MS / 1_000)
+        await request_for(platform, gateways, EVACUATE_MS / 1_000)
         before = platform.count_arrivals(EVACUATED)
-        await ask_for(platform, gateways, 1.0)
+        await request_for(platform, gateways, 1.0)
         assert platform.count_arrivals(EVACUATED) == before
 
     async def test_work_returns_once_the_evacuation_is_taken_back(self, platform):
-        """Guards against a data centre that stays out of use for good."""
+        """Guards against a data centre that is never used again."""
         gateways = await platform.start("ptl-a", "ptl-b")
         platform.evacuate(EVACUATED)
-        await ask_for(platform, gateways, EVACUATE_MS / 1_000)
+        await request_for(platform, gateways, EVACUATE_MS / 1_000)
         before = platform.count_arrivals(EVACUATED)
         platform.end_evacuation(EVACUATED)
         with trio.fail_after(EVACUATE_MS / 1_000 + 3.0):
             while platform.count_arrivals(EVACUATED) == before:
-                await ask_all(platform, gateways)
+                await request_all(platform, gateways)
         events = [
             event
             for gateway in gateways
@@ -81,29 +83,29 @@
         """Guards against hosts that serve before they have read the evacuations."""
         platform.evacuate(EVACUATED)
         gateways = await platform.start("ptl-a", "ptl-b")
-        await ask_for(platform, gateways, 0.5)
+        await request_for(platform, gateways, 0.5)
         for gateway in gateways:
             gateway.kill()
             gateway.start()
         for gateway in gateways:
             await platform.wait_ready(gateway)
-        await ask_for(platform, gateways, 0.5)
+        await request_for(platform, gateways, 0.5)
         assert platform.count_arrivals(EVACUATED) == 0
 
     async def test_it_holds_while_the_store_is_away(self, platform):
         """Guards against an outage of the store that ends an evacuation."""
         gateways = await platform.start("ptl-a", "ptl-b")
         platform.evacuate(EVACUATED)
-        await ask_for(platform, gateways, EVACUATE_MS / 1_000)
+        await request_for(platform, gateways, EVACUATE_MS / 1_000)
         platform.store.mode = "busy"
         before = platform.count_arrivals(EVACUATED)
-        await ask_for(platform, gateways, 3.0)
+        await request_for(platform, gateways, 3.0)
         platform.store.mode = "up"
-        await ask_for(platform, gateways, 3.0)
+        await request_for(platform, gateways, 3.0)
         assert platform.count_arrivals(EVACUATED) == before
 
     async def test_calls_under_way_are_finished(self, platform):
-        """Guards against an evacuation that cuts answers which servers work on."""
+        """Guards against an evacuation that interrupts running calls."""
         [gateway] = await platform.start("ptl-a")
         for leaf in platform.leafs:
             leaf.faults.work = 0.6 if leaf.zone == EVACUATED else 0.01
@@ -120,11 +122,11 @@
         assert [answer.status for answer in answers] == [200] * 4
 
     async def test_entries_that_make_no_sense_evacuate_nothing(self, platform):
-        """Guards against a stray entry that takes every server out of use."""
+        """Guards against an invalid entry that takes every server out of use."""
         platform.store.put("evacuations", "ptl-z", {})
         platform.store.put("evacuations", "ptl-b", "ptl-b")
         gateways = await platform.start("ptl-a", "ptl-b")
-        await ask_all(platform, gateways)
+        await request_all(platform, gateways)
         assert platform.count_arrivals("ptl-b") > 0
         for gateway in gateways:
             assert not gateway.read_events("evacuation started")
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes before servers and a store that fail: what callers get."""
+"""Answers of gateway processes to callers while servers and the store fail."""
 
 import json
 import signal
@@ -50,9 +50,8 @@
 
 class TestAnswers:
     async def test_every_host_serves_every_route(self, platform):
-        # Three hosts, one of them far from all servers. Whichever a caller reaches,
-        # the joined answer holds the greatest records of all shards and names each
-        # part once; a single server's answer comes unchanged.
+        # One of three hosts is far from all servers. From each, a joined answer has the
+        # greatest records and names each part once; a single answer is unchanged.
         for gateway in await platform.start("ptl-a", "ptl-b", "sea-a"):
             attempt = f"all-{gateway.name}"
             answer = await platform.request(gateway, "/all/x", attempt=attempt)
@@ -97,8 +96,8 @@
 
 class TestAtMostOnce:
     async def test_a_booking_whose_answer_is_lost_runs_once(self, platform):
-        # The server books and its connection is reset. The caller is not told that
-        # it has not run, and no other server gets it.
+        # The server books and its connection is reset. Guards against the answer "not
+        # run", and against a second attempt at another server.
         [gateway] = await platform.start("ptl-a")
         desks = [leaf for leaf in platform.leafs if leaf.service == "desk"]
         for leaf in desks:
@@ -152,7 +151,7 @@
         assert not await is_found()
         platform.write_routes(7, [make_one_route("/new/", "desk")])
         await wait_until(is_found, limit=2.0)
-        # A copy that lags, or an operator's older document, takes nothing back.
+        # A lagging replica or an older document of an operator reverts nothing.
         platform.write_routes(5, [make_one_route("/one/", "desk")])
         await trio.sleep(0.5)
         assert await is_found()
@@ -186,9 +185,8 @@
 class TestOutages:
     @pytest.mark.parametrize("mode", ["busy", "silent"])
     async def test_callers_are_served_while_the_store_is_away(self, platform, mode):
-        # The store goes away for longer than a watch waits, and all servers' entries
-        # lapse meanwhile. They are back a second after its return. Callers notice
-        # nothing of either.
+        # All servers' entries lapse in an outage of the store and are registered again
+        # a second after it. Guards against failed requests during or after the outage.
         [gateway] = await platform.start("ptl-a")
         platform.store.mode = mode
         with trio.move_on_after(3.5):
@@ -227,35 +225,33 @@
 
 class TestOwnerLost:
     async def test_a_frozen_owner_costs_a_caller_one_retry(self, platform):
-        # Three hosts; queries come to the one that is far from the servers. One of
-        # the two owners is frozen, then the other one. It may have sent its calls to
-        # both servers that the route allows, so nobody else is asked for them: the
-        # query under way fails at once, and the caller's next one is whole.
+        # Queries reach a host far from the servers while either owner is frozen. It may
+        # have called both servers that the route allows, so there is no other attempt.
         first, second, far = await platform.start("ptl-a", "ptl-a", "sea-a")
-        await wait_until(lambda: _knows_all(platform, far))
+        await wait_until(lambda: _has_found_all_hosts(platform, far))
         n_failed = 0
         for owner in (first, second):
             owner.send(signal.SIGSTOP)
             n_failed += await _count_failed(platform, far)
             owner.send(signal.SIGCONT)
-            await wait_until(lambda: _knows_all(platform, far))
+            await wait_until(lambda: _has_found_all_hosts(platform, far))
         assert n_failed == 1  # One of the two owns all shards.
 
     async def test_a_killed_owner_costs_no_answer(self, platform):
         first, second, far = await platform.start("ptl-a", "ptl-a", "sea-a")
-        await wait_until(lambda: _knows_all(platform, far))
+        await wait_until(lambda: _has_found_all_hosts(platform, far))
         assert await _count_failed(platform, far) == 0
         first.kill()
         assert await _count_failed(platform, far) == 0
 
 
-async def _knows_all(platform: Platform, gateway: Gateway) -> bool:
+async def _has_found_all_hosts(platform: Platform, gateway: Gateway) -> bool:
     is_started = bool(gateway.read_events("started"))
     return is_started and len(await _get_members(platform, gateway)) == 3
 
 
 async def _count_failed(platform: Platform, gateway: Gateway) -> int:
-    """Ask ten queries; return how many had to be asked again for a whole answer."""
+    """Send ten queries; return how many needed a retry for a complete answer."""
     n_failed = 0
     for _ in range(10):
         answer = await platform.request(gateway, "/all/")
@@ -275,8 +271,8 @@
 
 class TestPlannedStop:
     async def test_it_cuts_nobody_and_ends_in_time(self, platform):
-        # A caller keeps its connection and asks on it while the host stops. Each
-        # answer is whole; one of them tells the caller to leave, and it does.
+        # A caller repeats requests on one connection while the host stops. All answers
+        # are complete until one of them closes the connection.
         [gateway] = await platform.start("ptl-a")
         for leaf in platform.leafs:
             leaf.faults.work = 0.05
--- a/tests/test_homes_processes.py
+++ b/tests/test_homes_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes in two regions, and routes whose requests stay in one of them."""
+"""Gateway processes in two regions, with routes that are restricted to one region."""
 
 import pytest
 
@@ -17,8 +17,8 @@
 async def platform(tmp_path):
     async with open_platform(tmp_path, regions=REGIONS) as platform:
         for group in (*SHARDS, "desk"):
-            for place in ("ptl-a", "cle-a"):
-                await platform.add_leaf(group, place)
+            for data_centre in ("ptl-a", "cle-a"):
+                await platform.add_leaf(group, data_centre)
         platform.write_routes(
             3,
             [
@@ -33,7 +33,7 @@
 
 class TestHomeRegions:
     async def test_no_server_abroad_runs_a_request(self, platform):
-        """Guards against replicas, hedges and owners that are chosen for being near."""
+        """Guards against nearer replicas, hedges and owners in a forbidden region."""
         gateways = await platform.start(*REGIONS)
         for leaf in platform.leafs:
             leaf.faults.work = 0.25 if leaf.zone == "ptl-a" else 0.005
@@ -46,21 +46,21 @@
         assert platform.count_arrivals("cle-a") == 0
 
     async def test_no_host_abroad_owns_a_part_of_it(self, platform):
-        """Guards against a body that is sent to a host of a third region."""
+        """Guards against a body that is sent to a host outside the allowed regions."""
         home, abroad = await platform.start("ptl-a", "cle-a")
         for _ in range(3):
             assert (await platform.request(home, "/home/x")).status == 200
         assert not abroad.read_events("plan")
 
     async def test_routes_without_a_home_use_all_regions(self, platform):
-        """Guards against homes that bind what has none."""
+        """Guards against a restriction of routes without allowed regions."""
         gateways = await platform.start(*REGIONS)
         for gateway in gateways:
             assert (await platform.request(gateway, "/all/x")).status == 200
         assert platform.count_arrivals("cle-a") > 0
 
     async def test_a_home_without_servers_is_refused_at_once(self, platform):
-        """Guards against requests that are held, or run elsewhere, for want of one."""
+        """Guards against requests that are held, or run in another region."""
         [gateway] = await platform.start("ptl-a")
         answer = await platform.request(gateway, "/lost/x", attempt="lost")
         assert answer.status == 503
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -1,4 +1,4 @@
-"""Bookings through real processes that are killed and paused; the servers count."""
+"""Bookings through real processes that are killed or paused; servers count the runs."""
 
 from collections import Counter
 from functools import partial
@@ -20,9 +20,9 @@
 from standins.fleet import parse_address
 from standins.relay import Relay
 
-# A hang shows as a failure; no test waits for so long otherwise.
+# Turns a hang into a failure; well above the duration of any test.
 HANG_LIMIT = 30.0
-# Faster than the defaults: these tests are not about membership.
+# Faster than the defaults, to shorten the tests.
 CONTROL = {"probe_interval_ms": 100, "probe_timeout_ms": 50, "suspect_ms": 1_500}
 SHAPE = DeploymentShape(
     n_hosts=3,
@@ -86,10 +86,9 @@
         return answer.status if answer is not None else 0
 
     async def wait_until_known(self, ticket, name):
-        """Ask again for as long as the answer is "unknown"; it must become 200.
+        """Retry while the answer is "unknown"; it must then be 200.
 
-        Each "unknown" says to ask again: on a busy machine a host may not reach one
-        that has just woken within its time limit.
+        On a busy machine a host may not reach one that has just resumed in time.
         """
         while (status := await self.book(ticket, name)) == 504:
             await trio.sleep(0.1)
@@ -109,8 +108,8 @@
         assert answer is not None
         return sum(counts["run"] for counts in answer.json.values())
 
-    async def begin(self, ticket, nursery):
-        """Book at the issuer; return once the request runs at a backend server."""
+    async def start_booking(self, ticket, nursery):
+        """Start a booking at the issuer; return once it runs at a backend server."""
         answers = SimpleNamespace(status=None)
 
         async def book():
@@ -134,16 +133,14 @@
 
 class TestKilledIssuer:
     async def test_before_the_start_it_is_not_run_and_after_it_unknown(self, bench):
-        """Two callers hold tickets of a host that dies; each is told the truth.
+        """Guards against a wrong outcome of tickets whose issuer dies.
 
-        The first has not sent its request yet: the witness voids the ticket. The
-        second's runs at that moment: the witness has seen its start. What they are
-        told stays so after the host is back, and nothing runs again.
+        The witness voids the unused ticket and has recorded the start of the used one.
         """
         unused, used = await bench.issue(), await bench.issue()
         await bench.set_servers(service_ms=1_000)
         async with trio.open_nursery() as nursery:
-            first = await bench.begin(used, nursery)
+            first = await bench.start_booking(used, nursery)
             await bench.kill(ISSUER)
         assert first.status == 0
         assert await bench.book(unused, OTHER) == 503
@@ -157,15 +154,14 @@
 
 class TestPausedIssuer:
     async def test_a_retry_elsewhere_never_runs_a_second_time(self, bench):
-        """The caller's host freezes during the run; the caller retries elsewhere.
+        """Guards against a second run by a retry at another host during a run.
 
-        It is told "unknown", since the witness has seen the start. The host wakes
-        and still gets the server's answer, so that the outcome is known after all.
+        It returns "unknown" until the issuer resumes and gets the server's answer.
         """
         await bench.set_servers(service_ms=500)
         ticket = await bench.issue()
         async with trio.open_nursery() as nursery:
-            first = await bench.begin(ticket, nursery)
+            first = await bench.start_booking(ticket, nursery)
             bench.entries[ISSUER].pause()
             assert await bench.book(ticket, OTHER, deadline_ms=500) == 504
             bench.entries[ISSUER].resume()
@@ -174,10 +170,9 @@
         assert await bench.count_runs() == 1
 
     async def test_what_was_told_not_run_never_runs(self, bench):
-        """The host freezes with the request in its socket; it wakes after "not run".
+        """Guards against a run after "not run" by an issuer that was paused.
 
-        The retry elsewhere has the ticket voided by the witness, which refuses the
-        start when the host at last asks for it.
+        A retry made the witness void the ticket, so it refuses the late start.
         """
         ticket = await bench.issue()
         bench.entries[ISSUER].pause()
@@ -197,7 +192,7 @@
 
 class TestPausedWitness:
     async def test_nothing_runs_without_its_record(self, bench):
-        """The witness freezes before the start; the request is "not run" for good."""
+        """Guards against a run that the paused witness has not recorded."""
         ticket = await bench.issue()
         bench.entries[WITNESS].pause()
         assert await bench.book(ticket, ISSUER) == 503
@@ -209,7 +204,7 @@
 
 class TestBackendServers:
     async def test_a_death_after_the_run_is_never_run_again(self, bench):
-        """The server dies between the run and its answer: "unknown", for all time."""
+        """Guards against a retry after a server that died between run and answer."""
         ticket = await bench.issue()
         await bench.set_servers(crash="after run", restart_ms=100)
         assert await bench.book(ticket, ISSUER) == 504
@@ -229,7 +224,7 @@
 
 
 class TestJudge:
-    """What `make measure-once` prints rests on this comparison."""
+    """The comparison that `make measure-once` reports."""
 
     def test_tells_broken_promises_from_kept_ones(self):
         def book(name, *request_ids, **fields):
@@ -248,7 +243,7 @@
 
 
 class TestRelay:
-    """The middlebox of the measurement: connections go silent and nobody is told."""
+    """The middlebox of the measurement: connections go silent without a reset."""
 
     async def echo(self, stream):
         while data := await stream.receive_some(99):
@@ -264,7 +259,7 @@
 
         async def exchange(stream):
             await stream.send_all(b"?")
-            # A slow machine may hide an answer here, and never makes one up.
+            # On a slow machine an answer may be missed, but none is invented.
             with trio.move_on_after(0.2):
                 return await stream.receive_some(1)
             return b""
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the helper that starts processes for the lab, the demo and the tests."""
+"""The helper that starts processes for the lab, the demo and the tests."""
 
 import json
 import os
@@ -32,7 +32,7 @@
 FAILING = "import sys\nsys.exit('no such host')\n"
 SILENT = "import time\ntime.sleep(600)\n"
 
-# A program of the lab that is itself told to end while its process runs.
+# A program of the lab that is terminated while its process runs.
 HARNESS = """
 import sys, trio
 from lab.processes import open_processes
@@ -109,10 +109,8 @@
         assert is_gone(processes.running[0].pid)
 
     def test_terminated_harness(self, environment):
-        # Whoever runs an experiment ends it with SIGTERM (a shell's timeout, CI).
-        # The default action would end the harness at once, and its processes
-        # would hold their ports on the machine for good. `timeout` sends the signal
-        # twice; the second one comes while the harness tidies up.
+        # Guards against processes that outlive a harness ended by SIGTERM and keep
+        # their ports. `timeout` sends the signal twice, the second one in the clean-up.
         harness = subprocess.Popen(
             [sys.executable, "-c", HARNESS],
             env={**os.environ, **environment},
@@ -159,8 +157,8 @@
         assert len(set(find_free_ports(50))) == 50
 
     def test_a_port_is_dealt_once(self, monkeypatch):
-        # A deployment's ports are found, then that of a control address. Its program
-        # starts first; were it dealt a host's port, the host would end as it starts.
+        # Guards against a port that is assigned to two programs, the second of which
+        # then fails to start.
         monkeypatch.setattr(processes, "FIRST_PORT", 31_800)
         dealt = [*find_free_ports(40), *find_free_ports(40), *find_free_ports(40)]
         assert len(set(dealt)) == 120
@@ -168,9 +166,8 @@
 
 class TestStartsAtOnce:
     async def test_each_waits_for_its_own_ready(self, tmp_path):
-        # Two processes of one name start side by side. The first is quick to be
-        # ready, the second never is: sharing one output file it would be taken for
-        # ready by the first one's word.
+        # Guards against an output file shared by two processes of one name: the second
+        # one would count as ready when the first one is.
         quick = "print('ready', flush=True); import time; time.sleep(60)"
         never = "import time; time.sleep(60)"
         async with open_processes(directory=tmp_path) as processes:
--- a/tests/test_server_ends_processes.py
+++ b/tests/test_server_ends_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes and a request that ends each server that begins to run it."""
+"""Gateway processes and a request that crashes each server that runs it."""
 
 import pytest
 import trio
@@ -13,23 +13,23 @@
 )
 
 SHARDS = [f"shard{n}" for n in range(6)]
-PLACES = ("ptl-a", "ptl-b")
+DATA_CENTRES = ("ptl-a", "ptl-b")
 DEADLY = "/all/deadly"
 DEADLY_BOOKING = "/book/deadly"
-# What the users bear: a request that has ended three servers may come to servers in
-# this many more repeats.
+# By the requirements, a request that has crashed three servers may reach servers in at
+# most this many more repeats.
 MAX_REPEATS = 3
-AWAY = 0.6
-LIMIT = 20.0
+DOWN_S = 0.6
+TIMEOUT_S = 20.0
 
 
 @pytest.fixture
 async def platform(tmp_path):
     async with open_platform(tmp_path) as platform:
         for group in (*SHARDS, "desk"):
-            for place in PLACES:
+            for data_centre in DATA_CENTRES:
                 path = DEADLY if group != "desk" else DEADLY_BOOKING
-                await platform.add_leaf(group, place, ends_on=path, away=AWAY)
+                await platform.add_leaf(group, data_centre, ends_on=path, away=DOWN_S)
         platform.write_routes(
             3,
             [
@@ -41,8 +41,8 @@
 
 
 async def wait_until_served(platform: Platform, gateway: Gateway, path: str) -> None:
-    """Return once a harmless request is answered whole, all servers being back."""
-    with trio.fail_after(LIMIT):
+    """Wait for a complete answer to a harmless request, with all servers back."""
+    with trio.fail_after(TIMEOUT_S):
         while True:
             answer = await platform.request(gateway, path)
             is_whole = answer.get("lavendergap-missing-parts") in ("", "0")
@@ -54,7 +54,7 @@
 async def repeat(
     platform: Platform, gateways: list[Gateway], path: str, *, n_times: int
 ) -> Answer:
-    """Have a request come again and again, at one host after the other."""
+    """Repeat a request at one host after the other; return the last answer."""
     for turn in range(n_times):
         gateway = gateways[turn % len(gateways)]
         await wait_until_served(platform, gateway, f"{path}-not-{turn}")
@@ -63,72 +63,69 @@
     return answer
 
 
-async def wait_until_heard(gateway: Gateway, *, n_strikes: int) -> None:
-    """Return once this host knows of so many strikes, from others or the store."""
-    with trio.fail_after(LIMIT):
-        while _count_heard(gateway) < n_strikes:
+async def wait_for_strikes(gateway: Gateway, *, n_strikes: int) -> None:
+    """Wait until a host has this many strikes, from other hosts or the store."""
+    with trio.fail_after(TIMEOUT_S):
+        while _count_strikes(gateway) < n_strikes:
             await trio.sleep(0.01)
 
 
-def _count_heard(gateway: Gateway) -> int:
+def _count_strikes(gateway: Gateway) -> int:
     stored = [
         int(line["n_strikes"]) for line in gateway.read_events("strikes in force")
     ]
     return max(len(gateway.read_events("strike received")), *stored)
 
 
-def count_reached(platform: Platform) -> int:
-    """Return how many attempts have ended servers."""
+def count_crashing_attempts(platform: Platform) -> int:
+    """Return how many attempts have crashed servers."""
     return len({attempt for leaf in platform.leafs for attempt in leaf.ended_by})
 
 
-def count_ended(platform: Platform) -> int:
+def count_crashes(platform: Platform) -> int:
     return sum(len(leaf.ended_by) for leaf in platform.leafs)
 
 
 class TestRequestsThatEndServers:
     async def test_a_search_is_kept_from_servers_by_every_host(self, platform):
-        # Callers saw all searches fail for seconds, again and again: all servers of an
-        # index ended together each time. One caller's search ends each server that
-        # begins to run it. Each host that it came to sent it on, as often as it came,
-        # since repeats have new ids and nobody remembered what servers had ended under.
+        # Guards against a search that crashes all servers of an index with each repeat,
+        # since repeats have new ids and come to other hosts.
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
         answer = await repeat(platform, gateways, DEADLY, n_times=7)
-        assert count_reached(platform) <= 1 + MAX_REPEATS
+        assert count_crashing_attempts(platform) <= 1 + MAX_REPEATS
         assert answer.status == 503
         assert float(answer.get("retry-after")) > 0
 
     async def test_a_booking_is_kept_from_servers_by_every_host(self, platform):
-        # The same with one server a request, and no second one: no host sees more than
-        # one server end for each time that it comes.
+        # The same for requests to one server without retries: a host observes at most
+        # one crash for each repeat.
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
         answer = await repeat(platform, gateways, DEADLY_BOOKING, n_times=9)
-        assert count_reached(platform) <= 3 + MAX_REPEATS
+        assert count_crashing_attempts(platform) <= 3 + MAX_REPEATS
         assert answer.status == 503
 
     async def test_a_host_that_starts_later_knows(self, platform):
-        # All hosts that saw servers end are gone. What has to outlast them lies in the
-        # store, and a host that starts reads it before it takes callers.
+        # All hosts that observed crashes are gone. Guards against a new one that serves
+        # callers before it has read the strikes in the store.
         gateways = await platform.start("ptl-a", "ptl-b")
         await repeat(platform, gateways, DEADLY, n_times=4)
-        n_ended = count_ended(platform)
+        n_ended = count_crashes(platform)
         for gateway in gateways:
             gateway.kill()
         [newcomer] = await platform.start("sea-a")
         answer = await platform.request(newcomer, DEADLY)
         assert answer.status == 503
-        assert count_ended(platform) == n_ended
+        assert count_crashes(platform) == n_ended
 
     async def test_one_search_leaves_the_other_callers_a_server_of_each_group(
         self, platform
     ):
-        # It goes to one server of each group. Each that was lost under it was made good
-        # by asking the group's other server, so that within milliseconds none was left
-        # and all callers' searches failed until servers were back.
+        # Guards against retrying a search at the other server of each group, which
+        # leaves no server for all other callers.
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
         await wait_until_served(platform, gateways[0], "/all/first")
         await platform.request(gateways[0], DEADLY)
-        assert count_ended(platform) >= len(SHARDS) / 2
+        assert count_crashes(platform) >= len(SHARDS) / 2
         for gateway in gateways:
             answer = await platform.request(gateway, f"/all/at-{gateway.name}")
             assert answer.status == 200
@@ -137,17 +134,16 @@
     async def test_hosts_hear_of_it_from_the_host_that_saw_it(
         self, platform, store_mode
     ):
-        # A caller that got 502 asks again at once, at another host. Did that host not
-        # know yet, it would send the search to all groups' other servers. The host that
-        # saw them end tells all others before its caller, also while the store is away.
+        # A caller that got 502 retries at once at another host. Guards against a strike
+        # that reaches this host later, as the store is slower or down.
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
         for gateway in gateways:
             await wait_until_served(platform, gateway, f"/all/warm-{gateway.name}")
         platform.store.mode = store_mode
         for n, gateway in enumerate(gateways):
-            await wait_until_heard(gateway, n_strikes=n)
+            await wait_for_strikes(gateway, n_strikes=n)
             await platform.request(gateway, DEADLY, attempt=f"deadly-{n}")
-        assert count_ended(platform) <= len(SHARDS) + 1
+        assert count_crashes(platform) <= len(SHARDS) + 1
         for gateway in gateways:
             answer = await platform.request(gateway, f"/all/at-{gateway.name}")
             assert answer.status == 200
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -1,4 +1,4 @@
-"""Edits of the settings among real processes, while hosts and the platform fail."""
+"""Edits of the settings with real processes while hosts or the platform fail."""
 
 import msgspec
 import pytest
@@ -18,7 +18,7 @@
 from lavendergap.transport.platform import Found, PlatformClient, Stored
 from standins.fleet import parse_address
 
-# A hang shows as a failure; no test waits for so long otherwise.
+# Turns a hang into a failure; well above the duration of any test.
 HANG_LIMIT = 30.0
 CONTROL = {"probe_interval_ms": 100, "probe_timeout_ms": 50, "suspect_ms": 1_000}
 SHAPE = DeploymentShape(
@@ -62,7 +62,7 @@
         assert answer is not None and answer.status == 200
 
     async def edit(self, deadline_ms):
-        """Have an operator's edit accepted; return its version."""
+        """Store an operator's edit; return its version."""
         address = parse_address(self.deployment.platform)
         async with PlatformClient(address=address) as client:
             found = await client.get(KEY)
@@ -79,7 +79,7 @@
         return answer.json if answer is not None else None
 
     async def wait_for(self, version, names):
-        """Return once all of `names` have the version in force; none may pass it."""
+        """Wait until `version` is active on all of `names`; none may go back."""
         for name in names:
             seen = 0
             while seen < version:
@@ -105,9 +105,8 @@
 
 class TestAcceptedEdit:
     async def test_is_in_force_though_a_watch_holder_dies_at_that_moment(self, bench):
-        # A watch holder hangs, an edit is accepted, the holder dies without having
-        # read it. The others learn of the edit from the second holder; the first
-        # has it when it is ready again, though it starts from its old file.
+        # A watch holder dies without having read an accepted edit. The other hosts get
+        # it from the second holder, and the first one before it is ready again.
         victim = bench.holders[0]
         bench.entries[victim].pause()
         version = await bench.edit(250)
@@ -119,8 +118,8 @@
         assert status["settings"]["version"] == version
 
     async def test_is_in_force_though_all_watch_holders_die(self, bench):
-        # Nobody who watches has read the edit. The hosts ranked next take over as
-        # soon as the dead are known to be dead, and read what they missed.
+        # No watch holder has read the edit. The hosts ranked next take over once the
+        # dead ones are detected, and have to read it.
         for name in bench.holders:
             bench.entries[name].pause()
         version = await bench.edit(250)
@@ -132,8 +131,8 @@
 
 class TestPlatformDown:
     async def test_a_restarted_host_takes_the_newest_from_its_peers(self, bench):
-        # An edit is in force, then the platform goes down, then a host restarts
-        # with the file of before the edit. Its callers must be served by the edit.
+        # Guards against serving with the old file after a restart during an outage of
+        # the platform.
         version = await bench.edit(250)
         await bench.wait_for(version, bench.hosts)
         await bench.set_platform(down=True)
@@ -150,8 +149,8 @@
             await bench.wait_for(newer, bench.hosts)
 
     async def test_a_restarted_host_and_a_platform_that_lags(self, bench):
-        # The platform's reads lag behind the edit by a minute while a host
-        # restarts: it may show the version of before, never serve by it.
+        # The platform's reads lag behind while a host restarts. Guards against serving
+        # with the version before the edit.
         version = await bench.edit(250)
         await bench.wait_for(version, bench.hosts)
         await bench.set_platform(stale_reads_ms=60_000)
