--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -163,7 +163,7 @@
                         self._announce(base=base, changes=())
                     return
                 case StoreLost() as lost:
-                    await self._record_loss(lost)
+                    await self._handle_loss(lost)
                     if not self.is_loaded:
                         await self._fetch(None)
                     if self.is_loaded and not self.is_stale:
@@ -212,7 +212,7 @@
                     )
                     return
                 case StoreLost() as lost:
-                    await self._record_loss(lost)
+                    await self._handle_loss(lost)
 
     async def _wait_for_update(self, is_starting: bool) -> None:
         """Wait until an update is overdue, or this host may have to watch itself."""
@@ -271,7 +271,7 @@
         self._n_failures = 0
         self._confirmed_at = now
 
-    async def _record_loss(self, lost: StoreLost) -> None:
+    async def _handle_loss(self, lost: StoreLost) -> None:
         self._n_failures += 1
         metrics.store_losses.labels(self.feed, lost.reason.value).inc()
         if self._n_failures == 1:
--- a/src/lavendergap/entry/livehosts.py
+++ b/src/lavendergap/entry/livehosts.py
@@ -18,7 +18,7 @@
     """Ranks the owners among the live hosts again soon after members change.
 
     Members change in bursts, as when hosts start together or lose power. Changes within
-    an interval are applied at once, since ranking owners and building groups for each
+    an interval are applied together, since ranking owners and building groups for each
     change would take up the processor (`python -m lab.memberchanges`).
     """
 
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -45,7 +45,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class PendingSearch:
-    """A peer's Search: its running calls and the answers not yet sent."""
+    """A peer's Search: its running calls and the answers not yet sent.
+
+    Answers are sent at `hold_until`, or earlier once `release` is set.
+    """
 
     calls: dict[str, Call] = field(default_factory=dict)
     answers: list[ShardAnswer] = field(default_factory=list)
