--- a/tests/test_server_ends_processes.py
+++ b/tests/test_server_ends_processes.py
@@ -16,8 +16,8 @@
 DATA_CENTRES = ("ptl-a", "ptl-b")
 DEADLY = "/all/deadly"
 DEADLY_BOOKING = "/book/deadly"
-# By the requirements, a request that has crashed three servers may reach servers in at
-# most this many more repeats.
+# Users accept that a request that has crashed three servers reaches servers in at most
+# this many more repeats.
 MAX_REPEATS = 3
 DOWN_S = 0.6
 TIMEOUT_S = 20.0
