--- a/src/lavendergap/state/branch.py
+++ b/src/lavendergap/state/branch.py
@@ -1,4 +1,4 @@
-"""Reads the branches of a settings tree and resolves what each one inherits."""
+"""Parses the branches of a settings tree and resolves inherited options."""
 
 import difflib
 from collections.abc import Callable, Iterator, Mapping
@@ -27,14 +27,14 @@
 )
 
 DEFAULT = "(default)"
-"""The source of a value that no branch states."""
+"""The source of a value that no branch sets."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Resolved:
-    """A value in force at a branch and the path of the branch that states it.
+    """The effective value of an option and the path of the branch that sets it.
 
-    `source` is empty for the top of the tree and `DEFAULT` for the table's default.
+    `source` is empty for the root of the tree and `DEFAULT` for a built-in default.
     """
 
     value: Value
@@ -43,11 +43,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Branch:
-    """A branch of the tree with every option in force there, inherited ones too.
+    """A branch of the tree with all its effective options, including inherited ones.
 
-    An option whose value was refused, or that is stated nowhere and has no default,
-    is missing from `options`. `is_whole` is false where the branch, or what should
-    hold its children, was no object.
+    `options` lacks an option whose value is invalid, or that is not set and has no
+    default. `is_well_formed` is false if the branch, or a member that should hold its
+    children, is not an object.
     """
 
     name: str
@@ -55,35 +55,35 @@
     level: Level
     options: Mapping[str, Resolved]
     children: tuple["Branch", ...]
-    is_whole: bool = True
+    is_well_formed: bool = True
 
     def get(self, name: str) -> Value | None:
-        """Return the value of option `name` in force here, or None."""
+        """Return the effective value of option `name`, or None."""
         found = self.options.get(name)
         return None if found is None else found.value
 
     def list_children(self, level: Level) -> tuple["Branch", ...]:
-        """Return the branches of `level` right below this one."""
+        """Return the direct children that are branches of `level`."""
         return tuple(child for child in self.children if child.level is level)
 
     def walk(self) -> Iterator["Branch"]:
-        """Yield this branch and all below it, from the top down."""
+        """Yield this branch and its descendants in pre-order."""
         yield self
         for child in self.children:
             yield from child.walk()
 
 
-Report = Callable[[Problem], None]
+ProblemReporter = Callable[[Problem], None]
 _Options = dict[str, Resolved | None]
-"""Options by name; None stands for a value that was refused, and is inherited so
-that one mistake is told once."""
+"""Options by name; None marks an invalid value. The mark is inherited, so that the
+branches below do not report the same problem again."""
 
 
-def read_tree(text: str | bytes, *, file: str, report: Report) -> Branch:
-    """Return the settings tree in `text`, telling `report` each problem in it.
+def read_tree(text: str | bytes, *, file: str, report: ProblemReporter) -> Branch:
+    """Parse the settings tree in `text`; call `report` with each problem found.
 
-    Raises SettingsError where the text is no JSON with comments at all. References
-    and combinations between branches are the matter of `state.check`.
+    Raises SettingsError if the text is not JSON with comments. References and
+    constraints between branches are checked by `state.check`.
     """
     raw = parse_text(text, file=file)
     reader = _Reader(file=file, report=report)
@@ -91,32 +91,32 @@
 
 
 class _Reader:
-    """Walks a raw tree from the top down, handing options from parent to child."""
+    """Parses a raw tree from the root down, passing options from parent to child."""
 
-    def __init__(self, *, file: str, report: Report) -> None:
+    def __init__(self, *, file: str, report: ProblemReporter) -> None:
         self.file = file
         self.report = report
 
     def read(
         self, raw: Any, *, name: str, path: str, level: Level, inherited: _Options
     ) -> Branch:
-        """Read the branch `raw` and all that is below it."""
+        """Parse the branch `raw` and its descendants."""
         if not isinstance(raw, dict):
-            self._refuse(path, f"expected an object {{ ... }} for this {level}")
+            self._report_problem(path, f"expected an object {{ ... }} for this {level}")
             return Branch(
                 name=name,
                 path=path,
                 level=level,
                 options={},
                 children=(),
-                is_whole=False,
+                is_well_formed=False,
             )
         options: _Options = {
             option.name: inherited[option.name]
             for option in list_options(level)
             if option.name in inherited
         }
-        options.update(self._read_stated(raw, path=path, level=level))
+        options.update(self._read_options(raw, path=path, level=level))
         read = [
             self._read_children(raw, kind, path=path, inherited=options)
             for kind in list_branches(level)
@@ -127,34 +127,38 @@
             level=level,
             options=self._resolve(options, path=path, level=level),
             children=tuple(child for children in read for child in children or ()),
-            is_whole=None not in read,
+            is_well_formed=None not in read,
         )
 
-    def _read_stated(
+    def _read_options(
         self, raw: Mapping[str, Any], *, path: str, level: Level
     ) -> _Options:
-        """Check the options that the branch itself states."""
+        """Check the options that the branch itself sets."""
         known = {option.name: option for option in list_options(level)}
         branches = {kind.key for kind in list_branches(level)}
-        stated: _Options = {}
+        own_options: _Options = {}
         for key, value in raw.items():
             option = known.get(key)
             if option is not None:
                 checked = self._check(option, value, path=join_path(path, key))
-                stated[key] = checked and Resolved(value=checked[0], source=path)
+                own_options[key] = checked and Resolved(value=checked[0], source=path)
             elif key not in branches:
-                self._refuse(join_path(path, key), _explain_unknown(key, level))
-        return stated
+                self._report_problem(
+                    join_path(path, key), _describe_unknown_key(key, level)
+                )
+        return own_options
 
     def _check(self, option: Option, raw: Any, *, path: str) -> tuple[Value] | None:
-        """Return the value as a tuple of one, so that false is not taken for none."""
+        """Return a 1-tuple with the valid value, which may be falsy, or None."""
         if isinstance(option.kind, StragglersValue):
             policy = self._read_stragglers(raw, path=path)
             return None if policy is None else (policy,)
         value = check_value(option.kind, raw)
         if value is None:
-            shown = show_raw(raw)
-            self._refuse(path, f"expected {describe_kind(option.kind)}, found {shown}")
+            shown = format_raw(raw)
+            self._report_problem(
+                path, f"expected {describe_kind(option.kind)}, found {shown}"
+            )
             return None
         return (value,)
 
@@ -162,24 +166,24 @@
         kind = raw.get("kind") if isinstance(raw, dict) else None
         if not isinstance(kind, str) or kind not in STRAGGLERS_OPTIONS:
             wanted = describe_kind(StragglersValue())
-            # "Found an object" tells nobody which word is wrong when it has a kind.
+            # If there is a kind, point at it: "found an object" would not name it.
             place = path if kind is None else join_path(path, "kind")
-            shown = show_raw(raw if kind is None else kind)
-            self._refuse(place, f"expected {wanted}, found {shown}")
+            shown = format_raw(raw if kind is None else kind)
+            self._report_problem(place, f"expected {wanted}, found {shown}")
             return None
         known = {option.name: option for option in STRAGGLERS_OPTIONS[kind]}
         values = {name: option.default for name, option in known.items()}
-        is_whole = True
+        is_well_formed = True
         for key, value in raw.items():
             place = join_path(path, key)
             if key in known:
                 checked = self._check(known[key], value, path=place)
-                is_whole = is_whole and checked is not None
+                is_well_formed = is_well_formed and checked is not None
                 values[key] = checked[0] if checked else None
             elif key != "kind":
-                self._refuse(place, _explain_near(key, known))
-                is_whole = False
-        return _make_stragglers(kind, values) if is_whole else None
+                self._report_problem(place, _suggest_key(key, known))
+                is_well_formed = False
+        return _build_stragglers(kind, values) if is_well_formed else None
 
     def _read_children(
         self,
@@ -199,19 +203,23 @@
             ]
         named = raw.get(kind.key, {})
         if not isinstance(named, dict):
-            self._refuse(place, f"expected an object that maps names to {kind.key}")
+            self._report_problem(
+                place, f"expected an object that maps names to {kind.key}"
+            )
             return None
         return [
-            self._read_named(branch, name, kind, path=place, inherited=inherited)
+            self._read_named_child(branch, name, kind, path=place, inherited=inherited)
             for name, branch in named.items()
         ]
 
-    def _read_named(
+    def _read_named_child(
         self, raw: Any, name: str, kind: BranchKind, *, path: str, inherited: _Options
     ) -> Branch:
         place = join_path(path, name)
         if not is_name(name):
-            self._refuse(place, "expected a name of letters, digits, - and _ (max. 63)")
+            self._report_problem(
+                place, "expected a name of letters, digits, - and _ (max. 63)"
+            )
         return self.read(
             raw, name=name, path=place, level=kind.level, inherited=inherited
         )
@@ -219,7 +227,7 @@
     def _resolve(
         self, options: _Options, *, path: str, level: Level
     ) -> dict[str, Resolved]:
-        """Drop what was refused, fill in defaults and miss what has none."""
+        """Drop invalid values, apply defaults and report required options not set."""
         resolved: dict[str, Resolved] = {}
         for option in list_options(level):
             if option.name in options:
@@ -227,27 +235,27 @@
                 if found is not None:
                     resolved[option.name] = found
                 continue
-            default = _pick_default(option, resolved)
+            default = _get_default(option, resolved)
             if default is not None:
                 resolved[option.name] = Resolved(value=default, source=DEFAULT)
             elif option.lowest is level:
                 wanted = describe_kind(option.kind)
                 place = join_path(path, option.name)
-                self._refuse(place, f"missing; expected {wanted}")
+                self._report_problem(place, f"missing; expected {wanted}")
         return resolved
 
-    def _refuse(self, path: str, expected: str) -> None:
+    def _report_problem(self, path: str, expected: str) -> None:
         self.report(Problem(file=self.file, path=path, expected=expected))
 
 
-def _pick_default(option: Option, resolved: Mapping[str, Resolved]) -> Value | None:
+def _get_default(option: Option, resolved: Mapping[str, Resolved]) -> Value | None:
     idempotent = resolved.get("idempotent")
     if option.extra_calls and idempotent is not None and idempotent.value is False:
         return 0.0
     return option.default
 
 
-def _make_stragglers(
+def _build_stragglers(
     kind: str, values: Mapping[str, Value | None]
 ) -> StragglerPolicy | None:
     if kind == "wait":
@@ -259,7 +267,7 @@
     return GiveUpStragglers(min_share=min_share, patience=patience)
 
 
-def _explain_unknown(key: str, level: Level) -> str:
+def _describe_unknown_key(key: str, level: Level) -> str:
     for option in OPTIONS:
         if option.name == key:
             levels = ", ".join(option.levels)
@@ -268,23 +276,23 @@
         if kind.key == key:
             return f"this branch belongs in a {kind.parent}, not in a {level}"
     known = [option.name for option in list_options(level)]
-    return _explain_near(key, known + [kind.key for kind in list_branches(level)])
+    return _suggest_key(key, known + [kind.key for kind in list_branches(level)])
 
 
-def _explain_near(key: str, known: Mapping[str, object] | list[str]) -> str:
-    near = difflib.get_close_matches(key[:_LONGEST_KEY], list(known), n=1)
+def _suggest_key(key: str, known: Mapping[str, object] | list[str]) -> str:
+    near = difflib.get_close_matches(key[:_MAX_KEY_CHARS], list(known), n=1)
     if near:
         return f"unknown; did you mean {near[0]}?"
     return f"unknown; expected one of: {', '.join(known) or 'nothing'}"
 
 
-_LONGEST_KEY = 63
-_SHOWN_VALUE = 40
+_MAX_KEY_CHARS = 63
+_MAX_SHOWN_CHARS = 40
 
 
-def show_raw(raw: object) -> str:
-    """Return a short form of a refused value for a message, on one line."""
+def format_raw(raw: object) -> str:
+    """Return an invalid value for a message: one line, truncated if it is long."""
     shown = ascii(raw) if not isinstance(raw, (dict, list)) else type(raw).__name__
     words = {"dict": "an object", "list": "a list", "None": "null"}
     shown = words.get(shown, {"True": "true", "False": "false"}.get(shown, shown))
-    return shown if len(shown) <= _SHOWN_VALUE else f"{shown[:_SHOWN_VALUE]}..."
+    return shown if len(shown) <= _MAX_SHOWN_CHARS else f"{shown[:_MAX_SHOWN_CHARS]}..."
--- a/src/lavendergap/state/check.py
+++ b/src/lavendergap/state/check.py
@@ -1,14 +1,14 @@
-"""Checks what no branch of the settings tree can tell alone.
+"""Checks constraints between the branches and options of a settings tree.
 
-References between branches, names and addresses that stand twice, and values that
-are each in range but impossible together.
+These are references between branches, duplicate names and addresses, and values that
+are each in range but contradict each other.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from .branch import DEFAULT, Branch, Resolved
-from .options import HEDGE_MINIMUM_MS, OPTIONS, Level
+from .options import MIN_HEDGE_DEADLINE_MS, OPTIONS, Level
 from .settings import Address
 from .values import AddressValue, Value
 
@@ -19,17 +19,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """Something wrong at `path` and what was expected there."""
+    """A problem at `path` and what was expected there."""
 
     path: str
     expected: str
 
 
 def check_tree(tree: Branch) -> Iterator[Finding]:
-    """Yield what is wrong between the branches of `tree`, without an order.
+    """Yield the problems between the branches of `tree`, in no particular order.
 
-    Values that were refused already are passed over, so that one mistake is told
-    once.
+    Values already found invalid are skipped, so that each mistake is reported once.
     """
     yield from _check_presence(tree)
     yield from _check_names(tree)
@@ -45,8 +44,8 @@
 
 def _check_presence(tree: Branch) -> Iterator[Finding]:
     branches = list(tree.walk())
-    if not all(branch.is_whole for branch in branches):
-        # What is missing may stand where an object was expected.
+    if not all(branch.is_well_formed for branch in branches):
+        # The branch that seems missing may be the malformed one, reported already.
         return
     levels = {branch.level for branch in branches}
     if Level.HOST not in levels:
@@ -68,34 +67,34 @@
 def _check_names(tree: Branch) -> Iterator[Finding]:
     """Refuse two peers, or two groups, of one name.
 
-    Log lines, outcomes and the choice of an owner know a peer and a group by the
-    name alone; two of one name would be taken for each other.
+    Log lines, outcomes and shard ownership identify peers and groups by name only;
+    two with the same name could not be told apart.
     """
     peers: dict[str, str] = {}
     groups: dict[str, str] = {}
     for branch in tree.walk():
         match branch.level:
             case Level.HOST | Level.SERVER:
-                taken = peers
+                seen = peers
             case Level.GROUP:
-                taken = groups
+                seen = groups
             case _:
                 continue
-        first = taken.setdefault(branch.name, branch.path)
+        first = seen.setdefault(branch.name, branch.path)
         if first != branch.path:
             what = f"expected a name of its own, but {first} has it too"
             yield Finding(path=branch.path, expected=what)
 
 
 def _check_addresses(tree: Branch) -> Iterator[Finding]:
-    taken: dict[Address, str] = {}
+    seen: dict[Address, str] = {}
     for branch in tree.walk():
         for name in _ADDRESSES:
             address = branch.get(name)
             if not isinstance(address, Address):
                 continue
             path = f"{branch.path}.{name}" if branch.path else name
-            first = taken.setdefault(address, path)
+            first = seen.setdefault(address, path)
             if first != path:
                 what = f"expected an address of its own, but {first} has {address} too"
                 yield Finding(path=path, expected=what)
@@ -106,10 +105,10 @@
         interval = branch.get("probe_interval_ms")
         if not _is_below(branch.get("probe_timeout_ms"), interval, if_missing=True):
             what = f"expected less than probe_interval_ms, {interval}"
-            yield _find(branch, "probe_timeout_ms", what)
+            yield _make_finding(branch, "probe_timeout_ms", what)
         if _is_below(branch.get("suspect_ms"), interval, if_missing=False):
             what = f"expected at least probe_interval_ms, {interval}"
-            yield _find(branch, "suspect_ms", what)
+            yield _make_finding(branch, "suspect_ms", what)
 
 
 def _check_service(branch: Branch) -> Iterator[Finding]:
@@ -117,11 +116,13 @@
         for option in OPTIONS:
             if option.extra_calls and _is_below(0.0, branch.get(option.name)):
                 what = "expected 0: the service is not idempotent"
-                yield _find(branch, option.name, what)
+                yield _make_finding(branch, option.name, what)
     hedges = _is_below(0.0, branch.get("hedge_budget"))
-    if hedges and _is_below(branch.get("deadline_ms"), HEDGE_MINIMUM_MS):
-        what = f"expected at least {HEDGE_MINIMUM_MS} to hedge in, or hedge_budget 0"
-        yield _find(branch, "deadline_ms", what)
+    if hedges and _is_below(branch.get("deadline_ms"), MIN_HEDGE_DEADLINE_MS):
+        what = (
+            f"expected at least {MIN_HEDGE_DEADLINE_MS} to hedge in, or hedge_budget 0"
+        )
+        yield _make_finding(branch, "deadline_ms", what)
 
 
 def _check_server(branch: Branch, tree: Branch) -> Iterator[Finding]:
@@ -129,29 +130,31 @@
     data_centre = branch.get("data_centre")
     if data_centre is not None and data_centre not in known:
         what = f"expected a data centre of this file: {', '.join(known) or 'none'}"
-        yield _find(branch, "data_centre", what)
+        yield _make_finding(branch, "data_centre", what)
     connections = branch.get("connections")
     if _is_below(connections, branch.get("slots")):
         what = f"expected at most connections, {connections}"
-        yield _find(branch, "slots", what)
+        yield _make_finding(branch, "slots", what)
 
 
 def _is_below(
     left: Value | None, right: Value | None, *, if_missing: bool = False
 ) -> bool:
-    """Compare two numbers; a value that was refused already is no new mistake."""
+    """Return whether `left < right`, or `if_missing` if one of them is no number."""
     if isinstance(left, (int, float)) and isinstance(right, (int, float)):
         return left < right
     return if_missing
 
 
-def _find(branch: Branch, name: str, expected: str) -> Finding:
+def _make_finding(branch: Branch, name: str, expected: str) -> Finding:
     found = branch.options[name]
     path = f"{branch.path}.{name}"
-    return Finding(path=path, expected=f"{expected}, found {_describe(found, branch)}")
+    return Finding(
+        path=path, expected=f"{expected}, found {_describe_source(found, branch)}"
+    )
 
 
-def _describe(found: Resolved, branch: Branch) -> str:
+def _describe_source(found: Resolved, branch: Branch) -> str:
     if found.source == branch.path:
         return f"{found.value}"
     if found.source == DEFAULT:
--- a/src/lavendergap/state/difference.py
+++ b/src/lavendergap/state/difference.py
@@ -1,4 +1,4 @@
-"""The difference between two settings trees, place by place."""
+"""Computes the differences between two settings trees."""
 
 import json
 from collections.abc import Iterator, Mapping
@@ -7,17 +7,17 @@
 
 from .syntax import join_path
 
-_SHOWN_VALUE = 60
+_MAX_SHOWN_CHARS = 60
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Absent:
-    """Nothing stands at the place."""
+    """Stands for a value that is not set."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """A place at which two trees differ: what stands before and after."""
+    """A path at which two trees differ, with the values before and after."""
 
     path: str
     before: object
@@ -30,34 +30,34 @@
 def list_changes(
     before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> tuple[Change, ...]:
-    """Return where two raw trees differ, as operators wrote them, without defaults.
+    """Return the differences between two raw trees, ignoring defaults.
 
-    A branch that was added or removed whole is one change.
+    An added or removed branch is a single change.
 
     >>> list_changes({"slots": 2}, {"slots": 3})[0].path
     'slots'
     """
-    return tuple(_walk(before, after, path=""))
+    return tuple(_walk_changes(before, after, path=""))
 
 
 def find_value(tree: Mapping[str, Any], path: str) -> object:
-    """Return what stands at a path that `list_changes` gave, or Absent."""
-    places = _list_places(tree, path="")
+    """Return the value at a path from `list_changes`, or Absent."""
+    places = _walk_values(tree, path="")
     return next((value for place, value in places if place == path), Absent())
 
 
 def show_value(value: object) -> str:
-    """Return a short form of a value for people, on one line."""
+    """Return a value for display: one line, truncated if it is long."""
     match value:
         case Absent():
             return "(not stated)"
         case dict():
-            return f"{{{', '.join(map(json.dumps, value))}}}"[:_SHOWN_VALUE]
+            return f"{{{', '.join(map(json.dumps, value))}}}"[:_MAX_SHOWN_CHARS]
     shown = json.dumps(value)
-    return shown if len(shown) <= _SHOWN_VALUE else f"{shown[:_SHOWN_VALUE]}..."
+    return shown if len(shown) <= _MAX_SHOWN_CHARS else f"{shown[:_MAX_SHOWN_CHARS]}..."
 
 
-def _walk(
+def _walk_changes(
     before: Mapping[str, Any], after: Mapping[str, Any], *, path: str
 ) -> Iterator[Change]:
     for key in [*before, *(key for key in after if key not in before)]:
@@ -65,14 +65,14 @@
         old = before.get(key, Absent())
         new = after.get(key, Absent())
         if isinstance(old, dict) and isinstance(new, dict):
-            yield from _walk(old, new, path=place)
+            yield from _walk_changes(old, new, path=place)
         elif type(old) is not type(new) or old != new:
             yield Change(path=place, before=old, after=new)
 
 
-def _list_places(tree: Mapping[str, Any], *, path: str) -> Iterator[tuple[str, object]]:
+def _walk_values(tree: Mapping[str, Any], *, path: str) -> Iterator[tuple[str, object]]:
     for key, value in tree.items():
         place = join_path(path, key)
         yield place, value
         if isinstance(value, dict):
-            yield from _list_places(value, path=place)
+            yield from _walk_values(value, path=place)
--- a/src/lavendergap/state/hostfile.py
+++ b/src/lavendergap/state/hostfile.py
@@ -1,7 +1,7 @@
-"""The settings file of one gateway host: where it stands and what binds it.
+"""The settings file of one gateway host: its addresses and the platform's bounds.
 
-The file is JSON with comments. Routes and servers are not in it: they come from the
-platform's store and change while the process runs.
+The file is JSON with comments. It holds no routes or servers: these come from the
+platform's store and may change while the process runs.
 """
 
 from collections.abc import Mapping
@@ -18,11 +18,11 @@
 _Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 DEFAULT_CORES = 0.5
-"""Assumed of a host that does not say it: a weak one, so that its answers are early."""
+"""The default, in cores: a weak host, so that an unknown one still answers in time."""
 
 
 class _Bounds(msgspec.Struct, forbid_unknown_fields=True):
-    """What the platform allows. Times as named; shares are of the requests."""
+    """The platform's bounds as written in the file; shares are shares of requests."""
 
     drain_ms: int
     stop_within_ms: int
@@ -35,10 +35,10 @@
 
 
 class _HostFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The file as it is written.
+    """The settings file as written.
 
-    The host gets `cpu_share` of a processor that is `cpu_speed` times one core.
-    `regions` names the region of each data centre.
+    The host gets `cpu_share` of a processor whose speed is `cpu_speed` times that of
+    the reference core. `regions` maps each data centre to its region.
     """
 
     name: str
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayBounds:
-    """The platform's bounds, in seconds, and its budget of extra calls.
+    """The platform's bounds, with times in seconds, and its budget of extra calls.
 
-    Nothing is sent to an evacuated data centre later than `evacuate` seconds after the
-    store has acknowledged the evacuation; None where the platform has no evacuations.
-    In each second all hosts together may send a cold server `cold_rate_factor` times
-    the rate that its service tolerates, and `cold_rate_slack` requests more.
+    `evacuate` is how long after the store acknowledged an evacuation requests may
+    still be sent to the data centre; None if the platform has no evacuations. Per
+    second, all hosts together may send a cold server `cold_rate_factor` times the rate
+    that its service tolerates, plus `cold_rate_slack` requests.
     """
 
     drain: float
@@ -78,13 +78,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayHost:
-    """One gateway host: its addresses, its seeds and what binds it.
+    """One gateway host: its addresses, its seeds and the platform's bounds.
 
-    `regions` holds the region of each data centre of the deployment; it is empty where
-    the file does not say.
-    `seeds` are hosts to try first when it looks for others; they may be down. All
-    hosts take peers' channels at the same port. `cores` is how many cores as fast as
-    one of today its only thread amounts to: 0.5 takes twice as long for an answer.
+    `regions` maps each data centre of the deployment to its region; it is empty if the
+    file names none. `seeds` are the hosts contacted first to discover others; some may
+    be down. All hosts accept peer channels on the same port. `heartbeat` is in seconds.
+    `cores` is the host's processing power in reference cores: with 0.5 an answer takes
+    twice as long.
     """
 
     name: str
@@ -101,16 +101,16 @@
 
 
 def read_host_file(path: Path) -> GatewayHost:
-    """Read the settings file; raise SettingsError that names field and expectation."""
+    """Read the settings file; SettingsError names the field and the expected value."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise _refuse(path, "", f"cannot be read: {error}") from error
+        raise _make_error(path, "", f"cannot be read: {error}") from error
     return parse_host_file(text, file=str(path))
 
 
 def parse_host_file(text: str, *, file: str) -> GatewayHost:
-    """Read the text of a settings file; `file` is for the messages.
+    """Parse the text of a settings file; `file` is named in error messages.
 
     >>> try:
     ...     parse_host_file("{}", file="host.jsonc")
@@ -123,7 +123,7 @@
         read = msgspec.convert(raw, _HostFile)
     except msgspec.ValidationError as error:
         message, _, place = str(error).partition(" - at `$.")
-        raise _refuse(Path(file), place.rstrip("`"), message) from error
+        raise _make_error(Path(file), place.rstrip("`"), message) from error
     bounds = read.bounds
     peers = _read_address(f"{read.peer_ip}:{read.peer_port}", file, "peer_ip")
     return GatewayHost(
@@ -156,10 +156,10 @@
 def _read_address(text: str, file: str, field: str) -> Address:
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise _refuse(Path(file), field, f"expected IP:PORT, found {text!r}")
+        raise _make_error(Path(file), field, f"expected IP:PORT, found {text!r}")
     return Address(ip=ip, port=int(port))
 
 
-def _refuse(path: Path, place: str, expected: str) -> SettingsError:
+def _make_error(path: Path, place: str, expected: str) -> SettingsError:
     problem = Problem(file=str(path), path=place, expected=expected)
     return SettingsError(problems=(problem,))
--- a/src/lavendergap/state/options.py
+++ b/src/lavendergap/state/options.py
@@ -1,8 +1,7 @@
-"""The table of every option of the settings file.
+"""The table of all options of the settings file.
 
-The check of a file, `lavendergap settings show` and the reference page for
-operators all follow from `OPTIONS` and `BRANCHES`; an option that is not here does
-not exist.
+Validation of files, `lavendergap settings show` and the operators' reference page are
+all derived from `OPTIONS` and `BRANCHES`. Options not listed here are rejected.
 """
 
 import functools
@@ -22,8 +21,8 @@
     Value,
 )
 
-HEDGE_MINIMUM_MS = 20
-"""The least deadline, in milliseconds, that leaves a hedge time to answer."""
+MIN_HEDGE_DEADLINE_MS = 20
+"""The shortest deadline, in milliseconds, within which a hedge can still answer."""
 
 
 class Level(StrEnum):
@@ -42,10 +41,10 @@
 class Option:
     """One option: its kind, its default and the levels at which it may stand.
 
-    The first of `levels` is the highest; the branch at the last one uses the value.
-    `default` is None where an operator has to decide. `unit` is empty for plain
-    numbers. `extra_calls` marks options that let a call be made twice: 0 is then the
-    only value, and the default, of a service that is not idempotent.
+    `levels` run from the highest to the lowest; branches of the lowest use the value.
+    `default` is None if an operator has to set the option. `unit` is empty for
+    dimensionless values. `extra_calls` marks options that allow repeated calls: for a
+    service that is not idempotent they default to 0 and allow no other value.
     """
 
     name: str
@@ -64,10 +63,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BranchKind:
-    """A key that opens branches below `parent`.
+    """A key of a `parent` branch that holds child branches of `level`.
 
-    `named` branches are a map from names to branches of `level`; the others are one
-    branch.
+    If `named`, the key maps names to branches; otherwise it holds a single branch.
     """
 
     key: str
@@ -126,7 +124,9 @@
 _TO_SERVER = (Level.DEPLOYMENT, Level.SERVICE, Level.GROUP, Level.SERVER)
 
 
-def _make_timing(name: str, *, default: int, low: int, high: int, help: str) -> Option:
+def _make_duration_option(
+    name: str, *, default: int, low: int, high: int, help: str
+) -> Option:
     return Option(
         name=name,
         kind=IntegerValue(low=low, high=high),
@@ -275,35 +275,35 @@
         levels=_TO_SERVICE,
         help="The service's share of an overloaded host, relative to the others.",
     ),
-    _make_timing(
+    _make_duration_option(
         "probe_interval_ms",
         default=1_000,
         low=50,
         high=60_000,
         help="Time between two probes that a host sends to peers.",
     ),
-    _make_timing(
+    _make_duration_option(
         "probe_timeout_ms",
         default=300,
         low=10,
         high=30_000,
         help="Time until a probe counts as unanswered; below probe_interval_ms.",
     ),
-    _make_timing(
+    _make_duration_option(
         "suspect_ms",
         default=4_000,
         low=100,
         high=600_000,
         help="Time that a suspected peer has to refute its death.",
     ),
-    _make_timing(
+    _make_duration_option(
         "server_probe_interval_ms",
         default=1_000,
         low=50,
         high=60_000,
         help="Time between two looks at a backend server's health.",
     ),
-    _make_timing(
+    _make_duration_option(
         "idle_connection_ms",
         default=15_000,
         low=100,
@@ -318,7 +318,7 @@
         levels=(Level.CONTROL,),
         help="Hosts that watch the platform; the others learn from their peers.",
     ),
-    _make_timing(
+    _make_duration_option(
         "ticket_lifetime_ms",
         default=600_000,
         low=1_000,
@@ -333,7 +333,7 @@
         levels=(Level.CONTROL,),
         help="Tickets that one host keeps; more are refused.",
     ),
-    _make_timing(
+    _make_duration_option(
         "drain_ms",
         default=10_000,
         low=0,
@@ -367,11 +367,11 @@
 
 @functools.cache
 def list_options(level: Level) -> tuple[Option, ...]:
-    """Return the options that may stand at `level`, in the table's order."""
+    """Return the options allowed at `level`, in the table's order."""
     return tuple(option for option in OPTIONS if level in option.levels)
 
 
 @functools.cache
 def list_branches(parent: Level) -> tuple[BranchKind, ...]:
-    """Return the keys that open branches below `parent`."""
+    """Return the keys of a `parent` branch that hold child branches."""
     return tuple(branch for branch in BRANCHES if branch.parent is parent)
--- a/src/lavendergap/state/syntax.py
+++ b/src/lavendergap/state/syntax.py
@@ -1,4 +1,4 @@
-"""Reads JSON with comments into a raw tree, refusing what would hide a mistake."""
+"""Parses JSON with comments into a raw tree and rejects duplicate keys."""
 
 import json
 import re
@@ -9,44 +9,46 @@
 from .values import is_name
 
 MAX_BYTES = 1_000_000
-"""The platform holds values up to a megabyte."""
+"""The platform stores values of up to a megabyte."""
 
 MAX_DEPTH = 12
-"""The deepest place that the table allows lies six branches down."""
+"""Levels of nesting, well above those of any valid tree."""
 
 _STRING_OR_COMMENT = re.compile(
     r'"(?:\\.|[^"\\\n])*"?|//[^\n\r\u2028\u2029]*|/\*.*?(?:\*/|\Z)', re.DOTALL
 )
-"""Strings and comments without an end match too, up to where they stop: trying each
-quote of a garbled file as a new start would take hours."""
+"""Also matches unterminated strings and comments. Otherwise each quote of a malformed
+file would be tried as a new start, which takes quadratic time."""
 
-_SHOWN_KEY = 40
-_NO_LINE_END = re.compile(r"[^\n\r]")
+_MAX_SHOWN_KEY_CHARS = 40
+_NOT_LINE_BREAK = re.compile(r"[^\n\r]")
 
 
-class _Pairs(list[tuple[str, Any]]):
-    """An object as its list of pairs, in which duplicate keys are still seen."""
+class _KeyValuePairs(list[tuple[str, Any]]):
+    """An object as a list of pairs, which keeps duplicate keys."""
 
 
 def parse_text(text: str | bytes, *, file: str) -> dict[str, Any]:
-    """Return the tree that `text` writes as JSON with comments.
+    """Return the tree in `text`, which is JSON with comments.
 
-    Raises SettingsError where it is too large, not UTF-8, cut short or otherwise no
-    JSON, too deep, names a key twice in one object, or is not an object.
+    Raises SettingsError if the text is too large, not UTF-8, truncated or otherwise
+    malformed, nested too deeply, not an object, or has a duplicate key.
     """
     decoded = _decode(text, file=file)
     try:
         raw = _load(decoded)
     except RecursionError:
-        raise _refuse(file, "", f"a tree at most {MAX_DEPTH} levels deep") from None
+        raise _make_error(file, "", f"a tree at most {MAX_DEPTH} levels deep") from None
     except ValueError as error:
-        raise _locate(error, file=file) from None
+        raise _describe_json_error(error, file=file) from None
     problems: list[Problem] = []
-    tree = _unfold(raw, "", 1, lambda p, e: problems.append(_problem(file, p, e)))
+    tree = _build_tree(
+        raw, "", 1, lambda p, e: problems.append(_make_problem(file, p, e))
+    )
     if problems:
         raise SettingsError(problems=tuple(problems))
     if not isinstance(tree, dict):
-        raise _refuse(file, "", "an object { ... } that holds the settings")
+        raise _make_error(file, "", "an object { ... } that holds the settings")
     return tree
 
 
@@ -54,62 +56,64 @@
     data = text.encode("utf-8", "surrogatepass") if isinstance(text, str) else text
     if len(data) > MAX_BYTES:
         found = f"this has {len(data)}"
-        raise _refuse(file, "", f"at most {MAX_BYTES} bytes, but {found}")
+        raise _make_error(file, "", f"at most {MAX_BYTES} bytes, but {found}")
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
         place = f"byte {error.start}"
-        raise _refuse(file, place, "text in UTF-8; save the file as UTF-8") from None
+        raise _make_error(
+            file, place, "text in UTF-8; save the file as UTF-8"
+        ) from None
 
 
 def _load(text: str) -> Any:
-    """Read JSON whose comments are blanked out, which keeps all else in its place.
+    """Parse JSON with comments, which are replaced by spaces to keep positions.
 
-    The standard library then reads thousands of servers in milliseconds. The readers
-    of looser JSON (json5) take seconds, during which a daemon would answer nobody.
+    The standard library parses thousands of servers in milliseconds. Parsers of
+    extended JSON such as json5 take seconds, which would block a daemon's event loop.
     """
     blanked = _STRING_OR_COMMENT.sub(_blank_comment, text)
-    return json.loads(blanked, object_pairs_hook=_Pairs)
+    return json.loads(blanked, object_pairs_hook=_KeyValuePairs)
 
 
 def _blank_comment(found: re.Match[str]) -> str:
     part = found.group()
     is_comment = part.startswith("//") or (part.endswith("*/") and len(part) > 3)
-    return _NO_LINE_END.sub(" ", part) if is_comment else part
+    return _NOT_LINE_BREAK.sub(" ", part) if is_comment else part
 
 
-def _unfold(
+def _build_tree(
     raw: Any, path: str, depth: int, report: Callable[[str, str], None]
 ) -> object:
-    if not isinstance(raw, (_Pairs, list)):
+    if not isinstance(raw, (_KeyValuePairs, list)):
         return raw
     if depth > MAX_DEPTH:
         report(path, f"a tree at most {MAX_DEPTH} levels deep")
         return None
-    if not isinstance(raw, _Pairs):
-        return [_unfold(item, f"{path}[]", depth + 1, report) for item in raw]
+    if not isinstance(raw, _KeyValuePairs):
+        return [_build_tree(item, f"{path}[]", depth + 1, report) for item in raw]
     tree: dict[str, object] = {}
     for key, value in raw:
         place = join_path(path, key)
         if key in tree:
-            report(place, "each key once, but this key stands here twice")
-        tree[key] = _unfold(value, place, depth + 1, report)
+            report(place, "each key once, but this key is duplicated")
+        tree[key] = _build_tree(value, place, depth + 1, report)
     return tree
 
 
 def join_path(path: str, key: str) -> str:
-    """Return the dotted path of `key` below `path`, which is empty at the top.
+    """Return the dotted path of `key` below `path`, which is empty at the root.
 
-    A key that is no name is quoted and cut, so that a garbled file can neither
-    forge a path nor flood or break a terminal.
+    A key that is not a valid name is quoted and truncated, so that a malformed file
+    cannot fake a path or write control characters to a terminal.
     """
-    shown = key if is_name(key) else json.dumps(key[:_SHOWN_KEY])
+    shown = key if is_name(key) else json.dumps(key[:_MAX_SHOWN_KEY_CHARS])
     return f"{path}.{shown}" if path else shown
 
 
-def _locate(error: ValueError, *, file: str) -> SettingsError:
+def _describe_json_error(error: ValueError, *, file: str) -> SettingsError:
     if not isinstance(error, json.JSONDecodeError):
-        return _refuse(file, "", f"JSON with comments, but {error}")
+        return _make_error(file, "", f"JSON with comments, but {error}")
     rest = error.doc[error.pos :]
     what = error.msg
     if not rest.strip():
@@ -123,12 +127,12 @@
     elif rest[0] in "}]":
         what = "there is a comma, or nothing, before this bracket"
     place = f"{error.lineno}:{error.colno}"
-    return _refuse(file, place, f"JSON with comments, but {what}")
+    return _make_error(file, place, f"JSON with comments, but {what}")
 
 
-def _problem(file: str, path: str, expected: str) -> Problem:
+def _make_problem(file: str, path: str, expected: str) -> Problem:
     return Problem(file=file, path=path, expected=f"expected {expected}")
 
 
-def _refuse(file: str, path: str, expected: str) -> SettingsError:
-    return SettingsError(problems=(_problem(file, path, expected),))
+def _make_error(file: str, path: str, expected: str) -> SettingsError:
+    return SettingsError(problems=(_make_problem(file, path, expected),))
--- a/src/lavendergap/state/tree.py
+++ b/src/lavendergap/state/tree.py
@@ -1,4 +1,4 @@
-"""Turns a settings file into the settings in force, or says all that is wrong."""
+"""Loads a settings file into `Settings`, or reports all its problems."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -22,21 +22,21 @@
 
 _T = TypeVar("_T")
 _MAX_PROBLEMS = 50
-"""A garbled file of thousands of lines is not answered with thousands of lines."""
+"""Keeps a malformed file from flooding the terminal."""
 
 
 def load_settings(path: str | Path) -> Settings:
     """Return the settings in the file at `path`, as version 0.
 
-    Raises SettingsError with every problem found, an unreadable file included.
+    Raises SettingsError with every problem found, also if the file is unreadable.
     """
     return parse_settings(read_file(path), file=str(path))
 
 
 def read_file(path: str | Path) -> bytes:
-    """Return the bytes of the file at `path`, one more than allowed at most.
+    """Return the file's bytes, up to one more than allowed, so that excess is detected.
 
-    Raises SettingsError where it cannot be read.
+    Raises SettingsError if it cannot be read.
     """
     try:
         with open(path, "rb") as file:
@@ -48,7 +48,7 @@
 
 
 def parse_settings(text: str | bytes, *, file: str, version: int = 0) -> Settings:
-    """Return the settings that `text` states; `file` is named in the problems.
+    """Return the settings in `text`; `file` is named in the problems.
 
     Raises SettingsError with every problem found, up to a limit.
 
@@ -59,7 +59,7 @@
 
 
 def parse_tree(text: str | bytes, *, file: str) -> Branch:
-    """Return the checked tree that `text` states, with the source of each value.
+    """Return the validated tree in `text`, with the source of each value.
 
     Raises SettingsError as `parse_settings` does.
     """
@@ -69,11 +69,11 @@
         problem = Problem(file=file, path=finding.path, expected=finding.expected)
         problems.append(problem)
     if problems:
-        raise SettingsError(problems=_limit(problems, file=file))
+        raise SettingsError(problems=_truncate_problems(problems, file=file))
     return tree
 
 
-def _limit(problems: list[Problem], *, file: str) -> tuple[Problem, ...]:
+def _truncate_problems(problems: list[Problem], *, file: str) -> tuple[Problem, ...]:
     n_more = len(problems) - _MAX_PROBLEMS
     if n_more <= 0:
         return tuple(problems)
@@ -82,11 +82,11 @@
 
 
 def build_settings(tree: Branch, *, version: int) -> Settings:
-    """Return the settings of a checked tree."""
+    """Build the settings from a validated tree."""
     return Settings(
-        deployment=_get(tree, "deployment", str),
+        deployment=_get_typed(tree, "deployment", str),
         version=version,
-        platform=_get(tree, "platform", Address),
+        platform=_get_typed(tree, "platform", Address),
         hosts=tuple(
             _build_host(branch, data_centre=data_centre.name)
             for data_centre in tree.list_children(Level.DATA_CENTRE)
@@ -101,16 +101,16 @@
 
 def _build_control(branch: Branch) -> Control:
     names = [option.name for option in list_options(Level.CONTROL)]
-    return Control(**{name: _get(branch, name, int) for name in names})
+    return Control(**{name: _get_typed(branch, name, int) for name in names})
 
 
 def _build_host(branch: Branch, *, data_centre: str) -> Host:
     return Host(
         name=branch.name,
         data_centre=data_centre,
-        callers=_get(branch, "callers", Address),
-        peers=_get(branch, "peers", Address),
-        admin=_get(branch, "admin", Address),
+        callers=_get_typed(branch, "callers", Address),
+        peers=_get_typed(branch, "peers", Address),
+        admin=_get_typed(branch, "admin", Address),
     )
 
 
@@ -119,7 +119,7 @@
     assert isinstance(policy, (GiveUpStragglers, WaitForCoverage))
     return Service(
         name=branch.name,
-        idempotent=_get(branch, "idempotent", bool),
+        idempotent=_get_typed(branch, "idempotent", bool),
         groups=tuple(
             Group(
                 name=group.name,
@@ -127,29 +127,29 @@
             )
             for group in branch.children
         ),
-        deadline_ms=_get(branch, "deadline_ms", int),
+        deadline_ms=_get_typed(branch, "deadline_ms", int),
         stragglers=policy,
-        hedge_budget=_get(branch, "hedge_budget", float),
-        hedge_after_quantile=_get(branch, "hedge_after_quantile", float),
-        retry_budget=_get(branch, "retry_budget", float),
-        queue_limit=_get(branch, "queue_limit", int),
-        max_body_bytes=_get(branch, "max_body_bytes", int),
-        weight=_get(branch, "weight", float),
+        hedge_budget=_get_typed(branch, "hedge_budget", float),
+        hedge_after_quantile=_get_typed(branch, "hedge_after_quantile", float),
+        retry_budget=_get_typed(branch, "retry_budget", float),
+        queue_limit=_get_typed(branch, "queue_limit", int),
+        max_body_bytes=_get_typed(branch, "max_body_bytes", int),
+        weight=_get_typed(branch, "weight", float),
     )
 
 
 def _build_server(branch: Branch) -> Server:
     return Server(
         name=branch.name,
-        address=_get(branch, "address", Address),
-        data_centre=_get(branch, "data_centre", str),
-        slots=_get(branch, "slots", int),
-        connections=_get(branch, "connections", int),
+        address=_get_typed(branch, "address", Address),
+        data_centre=_get_typed(branch, "data_centre", str),
+        slots=_get_typed(branch, "slots", int),
+        connections=_get_typed(branch, "connections", int),
     )
 
 
-def _get(branch: Branch, name: str, kind: type[_T]) -> _T:
+def _get_typed(branch: Branch, name: str, kind: type[_T]) -> _T:
     value = branch.get(name)
-    # The check has refused any tree that lacks a value or holds one of another type.
+    # Validation rejects trees in which a value is missing or of another type.
     assert isinstance(value, kind), f"{branch.path}.{name}"
     return value
--- a/src/lavendergap/state/values.py
+++ b/src/lavendergap/state/values.py
@@ -1,4 +1,4 @@
-"""The kinds of values that options take: how each is checked and described."""
+"""The kinds of option values, with their validation and description."""
 
 import ipaddress
 import math
@@ -8,12 +8,12 @@
 from .settings import Address, StragglerPolicy
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,62}")
-"""Names hold no dot, so that a dotted path into the tree has one meaning."""
+"""Names have no dots, so that dotted paths into the tree are unambiguous."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class IntegerValue:
-    """A whole number from `low` to `high`, both included."""
+    """An integer from `low` to `high`, inclusive."""
 
     low: int
     high: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NumberValue:
-    """A finite number from `low` to `high`, both included."""
+    """A finite number from `low` to `high`, inclusive."""
 
     low: float
     high: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StragglersValue:
-    """What a service does about shards that lag behind the others."""
+    """The policy of a service for shards that answer late."""
 
 
 Kind = (
@@ -54,7 +54,7 @@
 
 
 def describe_kind(kind: Kind) -> str:
-    """Say what a value of `kind` looks like, as the end of "expected ..."."""
+    """Return a description of valid values, to follow "expected" in a message."""
     match kind:
         case IntegerValue(low=low, high=high):
             return f"a whole number from {low} to {high}"
@@ -71,9 +71,9 @@
 
 
 def check_value(kind: Kind, raw: object) -> Value | None:
-    """Return `raw` as a value of `kind`, or None where it is not one.
+    """Return `raw` as a value of `kind`, or None if it is invalid.
 
-    `StragglersValue` holds options of its own and is read by `state.branch`.
+    `StragglersValue` has options of its own and is parsed by `state.branch`.
     """
     match kind:
         case IntegerValue(low=low, high=high):
@@ -91,15 +91,15 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether `text` may name a branch."""
+    """Return whether `text` is a valid name of a branch."""
     return NAME_PATTERN.fullmatch(text) is not None
 
 
 def parse_address(text: str) -> Address | None:
-    """Return the address that `text` writes as ip:port, or None.
+    """Return the address in `text`, written as ip:port, or None if it is invalid.
 
-    Only IPv4 numbers of one host are taken: names need a lookup that can fail or
-    change, and 0.0.0.0 tells a peer nothing.
+    Only IPv4 numbers of a single host are accepted: host names need a lookup, which
+    may fail or change, and peers cannot connect to 0.0.0.0.
     """
     ip, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdigit() or len(port) > 5:
@@ -118,7 +118,7 @@
 def _check_number(raw: object, *, low: float, high: float) -> float | None:
     if isinstance(raw, bool) or not isinstance(raw, (int, float)):
         return None
-    # A NaN compares false with everything and an integer may exceed any float.
+    # Floats only: math.isfinite() raises OverflowError for huge integers.
     if isinstance(raw, float) and not math.isfinite(raw):
         return None
     return float(raw) if low <= raw <= high else None
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -291,7 +291,7 @@
             ("/* " * 300_000, "1:1", "this comment has no end"),
             ("", "1:1", "the file ends too early"),
             ("[1]", "", "an object { ... }"),
-            ('{"a": {"b": 1, "b": 1}}', "a.b", "stands here twice"),
+            ('{"a": {"b": 1, "b": 1}}', "a.b", "this key is duplicated"),
             ('{"a":' * 13 + "1" + "}" * 13, ".".join("a" * 12), "12 levels"),
             ("[" * 100_000, "", "at most 12 levels"),
             ('{"a": ' + "9" * 5000 + "}", "", "JSON with comments"),
