--- a/src/lavendergap/state/__init__.py
+++ b/src/lavendergap/state/__init__.py
@@ -1,1 +1,1 @@
-"""Frozen data that every other layer speaks of; no I/O and no clocks."""
+"""Immutable data classes shared by all other layers; no I/O and no clocks."""
--- a/src/lavendergap/state/feeds.py
+++ b/src/lavendergap/state/feeds.py
@@ -1,4 +1,4 @@
-"""What a host reads of the platform's store: kinds of entries, listed and watched."""
+"""The interface to the feeds of the platform's store: listing and watching."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedEntry:
-    """One entry as the store holds it; only the adapter knows what is in `body`."""
+    """One entry of the store; only the adapter interprets `body`."""
 
     name: str
     body: bytes
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedChanges:
-    """What has changed up to a revision; nothing where a watch ran out of time."""
+    """The changes up to a revision; none if a watch timed out."""
 
     revision: int
     changes: tuple[FeedChange, ...]
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HistoryGone:
-    """The store no longer knows what changed since; the feed is listed anew."""
+    """The store no longer has the changes since that revision; list the feed again."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreLost:
-    """No usable answer of the store; `retry_after_s` is its own word, or 0."""
+    """The store gave no usable answer; `retry_after_s` is its Retry-After, or 0."""
 
     step: Step
     reason: Reason
@@ -53,12 +53,13 @@
 
 
 class FeedSource(Protocol):
-    """The store's feeds, as the adapter reads them. Nothing here raises."""
+    """Reads the store's feeds. Its methods return errors and raise none."""
 
     async def list_feed(self, feed: str, *, may_lag: bool) -> FeedListing | StoreLost:
-        """Return all entries of a feed, with `may_lag` perhaps some seconds old.
+        """Return all entries of a feed.
 
-        Such a read costs the store a tenth; a watch from its revision tells the rest.
+        With `may_lag` they may be some seconds old. Such a read is much cheaper for
+        the store; a watch from the returned revision yields the later changes.
         """
 
     async def watch_feed(
--- a/src/lavendergap/state/forwarding.py
+++ b/src/lavendergap/state/forwarding.py
@@ -1,18 +1,18 @@
-"""A caller's request that goes to a backend server unchanged."""
+"""A caller's request that is forwarded to a backend server unchanged."""
 
 from dataclasses import dataclass
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""Names in lower case with their values, in the order in which they came."""
+"""Lower-case names with their values, in the order received."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardedRequest:
-    """What goes on the wire beside the body, which the call itself holds.
+    """The parts of a forwarded request except its body, which the call holds.
 
-    `attempt` is the caller's own id of this request: a caller's retry has another,
-    so that a server's answer that names it belongs to no other request. `headers`
-    holds no header that concerns one connection only.
+    `attempt` is the caller's id of this request. A caller's retry has a different id,
+    so a server's answer that repeats the id belongs to this request. `headers` holds
+    no hop-by-hop headers.
     """
 
     method: bytes
--- a/src/lavendergap/state/gossip.py
+++ b/src/lavendergap/state/gossip.py
@@ -1,4 +1,4 @@
-"""The messages by which hosts probe each other and gossip what they know."""
+"""The messages of the gossip protocol between hosts, and its events."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ProbeRequest:
-    """Asks a third host to ping `target` and to pass on what it answers."""
+    """Asks a third host to ping `target` and to relay the answer."""
 
     source: Member
     sequence: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ack:
-    """Answers a ping; `subject` is set when a third host passes an answer on."""
+    """Answers a ping; `subject` is the answering host if a third host relays it."""
 
     source: Member
     sequence: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Gossip:
-    """Tells news without asking for an answer."""
+    """Sends updates without requesting an answer."""
 
     source: Member
     documents: DocumentsDigest
@@ -49,7 +49,7 @@
 class Summary:
     """Hashes of the sender's member table, one for each bucket of names.
 
-    In an answer, `truncated` says that the tables sent before it left some out.
+    In an answer, `truncated` is set if the tables sent before it were incomplete.
     """
 
     source: Member
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Table:
-    """A part of the sender's member table: what a summary showed to differ."""
+    """The part of the sender's member table in which two summaries differ."""
 
     source: Member
     members: tuple[Member, ...]
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Send:
-    """A message to put into one datagram for the host at `to`."""
+    """A message to send in one datagram to the host at `to`."""
 
     to: Address
     message: Message
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MemberChanged:
-    """A member is now taken to be as `member` says, by the word of `reported_by`."""
+    """The table now holds `member`, as reported by the host `reported_by`."""
 
     member: Member
     previous: Member | None
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentsAdvertised:
-    """A member holds documents other than ours."""
+    """A member advertised documents that differ from this host's."""
 
     member: Member
     documents: DocumentsDigest
--- a/src/lavendergap/state/member.py
+++ b/src/lavendergap/state/member.py
@@ -1,4 +1,4 @@
-"""Members of the fleet as the hosts tell each other of them."""
+"""Member records of the gossip protocol."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class MemberState(StrEnum):
-    """What is believed of a member; each later one wins at equal incarnations."""
+    """The state of a member, in rising precedence among records otherwise equal."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """One process of the fleet as its last known record describes it.
+    """The last known record of one process of the fleet.
 
-    `incarnation` is the time in milliseconds at which the process drew it when it
-    started, so that a restart at the same address is newer than what it replaces.
-    `refutations` grows each time that the process contradicts a false suspicion,
-    or declares something new of itself; only the process itself raises it.
+    `incarnation` is the start time of the process in Unix milliseconds, so that a
+    restarted process supersedes its predecessor at the same address. `refutations` is
+    incremented by the process itself when it refutes a false suspicion or announces a
+    change of its record.
     """
 
     name: str
@@ -38,23 +38,23 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """What decides which of two records of one member is newer."""
+        """The sort key by which the newer of two records of a member is chosen."""
         return self.incarnation, self.refutations, _PRECEDENCE[self.state]
 
     @property
     def may_own(self) -> bool:
-        """Whether new work may go to it.
+        """Whether the member may own shards and receive new work.
 
-        A suspect keeps its work until the suspicion is confirmed: most are
-        refuted, and moving its shards to and fro would cost more than bypassing
-        it for a few seconds.
+        A suspect keeps its shards until the suspicion is confirmed: most suspicions
+        are refuted, and moving shards back and forth would cost more than bypassing
+        the member for a few seconds.
         """
         return self.state in (MemberState.LIVE, MemberState.SUSPECT)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentVersion:
-    """A named document, such as `index/scheduler`, at a version of the platform."""
+    """The name of a document, such as `index/scheduler`, and its platform version."""
 
     name: str
     version: int
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentsDigest:
-    """What a host holds, small enough to ride on each datagram.
+    """A digest of the documents that a host holds, carried on each datagram.
 
-    `fingerprint` covers all documents, so equal ones mean that there is nothing to
-    compare. `newest` lists as many as fit, the highest version first; `truncated`
-    says that some are left out.
+    `fingerprint` covers all documents: hosts with equal fingerprints hold the same.
+    `newest` lists as many documents as fit, the highest version first; `truncated` is
+    set if some are left out.
     """
 
     fingerprint: int = 0
--- a/src/lavendergap/state/outcome.py
+++ b/src/lavendergap/state/outcome.py
@@ -1,7 +1,7 @@
-"""What became of a request or of one call, as tagged outcomes.
+"""Outcomes of requests and calls, as tagged data classes.
 
-Each outcome that is not an answer carries the step at which it arose and the peer
-it arose with, so that a log line or an error body needs no guesswork.
+Each outcome other than an answer carries the step that failed and the peer involved,
+for log lines and error bodies.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Step(StrEnum):
-    """The steps of a request, in their order."""
+    """The steps of a request, in order."""
 
     ADMIT = "admit"
     PIN = "pin"
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """The whole answer: `body` is what the backend server sent.
+    """A complete answer, with the `body` that the backend server sent.
 
-    `status` and `headers` are the server's own too, where a caller gets its answer
-    unchanged; an answer that is joined with others has no use for them.
+    `status` and `headers` are the server's if its answer is forwarded unchanged. They
+    are not used for an answer that is merged with others.
     """
 
     body: bytes
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """Proved never to have run: no byte left, or the server itself said so.
+    """The request did not run: nothing was sent, or the server reported so.
 
-    `retry_after_ms` tells the caller when to come back.
+    `retry_after_ms` is how long the caller should wait before a retry; 0 if not known.
     """
 
     step: Step
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """May or may not have run. An idempotent call may be tried again; others not."""
+    """The request may have run. Only an idempotent call may be retried."""
 
     step: Step
     peer: str
@@ -87,13 +87,13 @@
 
 
 def is_server_end(outcome: Outcome) -> bool:
-    """Tell whether the server of a request ended while it had it."""
+    """Return whether the server process ended while it handled the request."""
     return isinstance(outcome, Unknown) and outcome.reason is Reason.SERVER_ENDED
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Missing:
-    """A shard that an answer does not cover, and why."""
+    """A shard that an answer does not cover, and the reason."""
 
     shard: str
     reason: Reason
@@ -105,8 +105,8 @@
 class Coverage:
     """The part of a snapshot that an answer covers.
 
-    `share` is the sum of the answered shards' shares of the library, from 0 to 1,
-    taken from the snapshot's partition map and only from checked answers.
+    `share` is the sum of the answered shards' shares of the library, from 0 to 1, by
+    the snapshot's partition map. Only verified answers count.
     """
 
     n_asked: int
--- a/src/lavendergap/state/quarantine.py
+++ b/src/lavendergap/state/quarantine.py
@@ -1,4 +1,4 @@
-"""What is known of requests under which backend servers ended."""
+"""Records of requests during which backend servers ended."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,11 +6,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Strike:
-    """One request under which servers ended and that none answered.
+    """One request that no server answered and during which servers ended.
 
-    `name` is unique to the request, `content` is shared by its repeats. `host` saw it
-    and `servers` are those that ended; both are for people. In a trial the request was
-    a suspect, and had been sent to one server alone.
+    `name` identifies the request, `content` is shared by repeats of it. `host` is the
+    host that observed it and `servers` are those that ended; both are informational.
+    With `is_trial` the request was a suspect already and was sent to one server only.
     """
 
     name: str
@@ -21,10 +21,10 @@
 
 
 class Standing(Enum):
-    """What may be done with a request, by the strikes against its content."""
+    """Where a request may be sent, by the strikes recorded for its content."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
-    """Struck: it goes to one server first, and to others once that has answered."""
+    """Has a strike: it goes to one server first, to others after that has answered."""
     HELD = "held"
-    """Struck in a trial: it goes to no server."""
+    """Has a strike from a trial: it is sent to no server."""
--- a/src/lavendergap/state/registry.py
+++ b/src/lavendergap/state/registry.py
@@ -1,21 +1,21 @@
-"""Backend servers as they register themselves at the platform."""
+"""Backend servers as registered with the platform."""
 
 import re
 from dataclasses import dataclass
 
 from .settings import Address
 
-_VISIBLE = re.compile(r"[!-~]{1,256}")
+_VISIBLE_ASCII = re.compile(r"[!-~]{1,256}")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RegisteredServer:
-    """One incarnation of a backend server, by its own word.
+    """One incarnation of a backend server, as the server registered it.
 
-    A server may start again under the id that it had. `started_at_ms` is then another
-    one, in Unix milliseconds by the server's own clock: it tells incarnations apart,
-    and not which of them came first. It is 0 where servers do not tell it. A server
-    that `is_cold` is slow and bears few requests; it may turn cold at any time.
+    A server may restart under the same id. `started_at_ms` distinguishes its
+    incarnations but does not order them: it is Unix milliseconds by the server's own
+    clock, or 0 if the server does not report it. A server that `is_cold` is slow and
+    tolerates only a low rate of requests; it may become cold at any time.
     """
 
     server_id: str
@@ -28,17 +28,19 @@
     is_cold: bool = False
 
     def __post_init__(self) -> None:
-        """Raise ValueError for an id that cannot stand in a header.
+        """Raise ValueError if the id is not safe as a header value.
 
-        It goes with each request to the server; a line break in it would be taken for
-        the end of the header, and what follows for headers or a request of our own.
+        The id is sent as a header of each request to the server. A line break in it
+        would allow header injection and request smuggling.
         """
-        if not _VISIBLE.fullmatch(self.server_id):
-            raise ValueError(f"a server's id is no plain text: {self.server_id!r}")
+        if not _VISIBLE_ASCII.fullmatch(self.server_id):
+            raise ValueError(
+                f"server id is not plain visible ASCII: {self.server_id!r}"
+            )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RefusedEntry:
-    """An entry of the registry that names no server to use."""
+    """An entry of the registry that describes no usable server."""
 
     problem: str
--- a/src/lavendergap/state/routes.py
+++ b/src/lavendergap/state/routes.py
@@ -1,11 +1,11 @@
-"""Routes: which backend servers answer a caller's request, and on what terms."""
+"""Routes: which backend servers answer a caller's request, and within which limits."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WeightedGroup:
-    """A group of servers and its weight among those of one route."""
+    """A group of servers and its weight among the groups of a route."""
 
     group: str
     weight: float
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OneOf:
-    """One server answers, of a group drawn in the proportion of the weights."""
+    """One server answers, of a group chosen at random in proportion to the weights."""
 
     groups: tuple[WeightedGroup, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GreatestOfAll:
-    """One server of each group answers; the greatest `n_records` of all go back.
+    """One server of each group answers; the answer has the greatest `n_records` of all.
 
-    An answer without some groups is one as long as `min_share` of them is in.
+    The answer may lack some groups if at least `min_share` of them answered.
     """
 
     groups: tuple[str, ...]
@@ -38,9 +38,9 @@
     """The requests of one host name below one path prefix.
 
     `prefix` begins and ends with a slash. `max_attempts` is the number of servers (of
-    each group) that one request may be sent to. An answer is wanted within `goal_ms`
-    and final after `timeout_ms`. `priority` 0 is the most urgent. Requests run in
-    `home_regions` only, or anywhere where these are empty.
+    each group) that one request may be sent to. `goal_ms` is the target latency and
+    `timeout_ms` the limit after which a request fails. `priority` 0 is the most
+    urgent. Requests run in `home_regions` only, or in any region if it is empty.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of callers' requests, and on slow and idle connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
@@ -69,9 +69,9 @@
 class RouteTable:
     """All routes at one version of the operators' document.
 
-    `connections` holds, by group, how many connections one of its servers accepts
-    from all callers together, and `cold_rates` how many requests a second one of them
-    tolerates while it is cold. A group that is not in it has no bound.
+    By group, `connections` holds how many connections one server accepts from all
+    hosts together, and `cold_rates` how many requests per second one server tolerates
+    while it is cold. A group that is missing has no limit.
     """
 
     version: int
--- a/src/lavendergap/state/settings.py
+++ b/src/lavendergap/state/settings.py
@@ -1,8 +1,7 @@
-"""The settings in force, with inheritance resolved: what every process acts on.
+"""The effective settings, with inheritance resolved.
 
-The file that operators edit is a tree in which each branch inherits from its
-parent; `state.tree` turns such a file into these data classes after checking it
-against the table in `state.options`.
+Operators edit a tree in which each branch inherits from its parent. `state.tree`
+validates such a file against the table in `state.options` and builds these classes.
 """
 
 from dataclasses import dataclass, field
@@ -10,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class Address:
-    """A TCP or UDP address by IP number, such as 127.0.0.1:8001."""
+    """A TCP or UDP address with a numeric IP, such as 127.0.0.1:8001."""
 
     ip: str
     port: int
@@ -32,12 +31,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Server:
-    """A backend server: `slots` calls at once over at most `connections`.
+    """A backend server, with `slots` concurrent calls over at most `connections`.
 
-    `incarnation` tells a start of the server from others under the same name. What is
-    known of one says nothing of the next. It is 0 where starts are not told apart.
-    While the server is cold it gets at most `cold_limit` requests a second of the host
-    that warms it up, and none of the others; None where there is no bound.
+    `incarnation` distinguishes restarts under the same name; measurements of one
+    incarnation do not apply to the next. It is 0 if restarts are not distinguished.
+    A cold server gets at most `cold_limit` requests per second from the host that
+    warms it up, and none from the others; None means no limit.
     """
 
     name: str
@@ -49,7 +48,7 @@
     cold_limit: int | None = None
 
     def is_same_process(self, other: "Server") -> bool:
-        """Tell whether both are one process, as far as names and addresses tell."""
+        """Return whether both have the same name, address and incarnation."""
         return (
             self.name == other.name
             and self.address == other.address
@@ -69,8 +68,8 @@
 class GiveUpStragglers:
     """Answer without a straggling shard once `min_share` is covered.
 
-    The wait after the covered share is reached is `patience` times the time that
-    the answered shards' median took. Cedarlight's choice: the tail matters most.
+    After that share is reached, the wait is `patience` times the median time of the
+    answered shards. Prefers a low tail latency to complete answers.
     """
 
     min_share: float
@@ -79,16 +78,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WaitForCoverage:
-    """Wait for every shard up to the deadline. Qureshi's choice: coverage first."""
+    """Wait for all shards until the deadline: prefers coverage to latency."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerByGoal:
-    """Wait for every shard until the goal, then answer with `min_share` or more.
+    """Wait for all shards until the goal, then answer with `min_share` or more.
 
-    For callers to whom an answer within `goal_ms` is worth far more than a whole one
-    after it. Where too little is covered by then, the answer goes out as soon as
-    `min_share` is reached.
+    For callers that prefer a partial answer within `goal_ms` to a complete one after
+    it. If less is covered by then, the answer is sent once `min_share` is reached.
     """
 
     min_share: float
@@ -100,11 +98,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExtraCalls:
-    """Bounds on what one owner sends beyond the first call of each request.
+    """Limits on the retries and hedges of one owner, in calls and calls per second.
 
-    The shares in `Service` grow with the load; these let a group with few calls
-    retry and hedge as well. `counts_refusals` makes a retry after a server's own
-    refusal draw on the budget too: for a platform that bounds all extra calls.
+    The budgets in `Service` are shares of the load; these allowances let a group with
+    few calls retry and hedge too. With `counts_refusals` a retry after a server's
+    refusal uses up the budget as well, for platforms that limit all extra calls.
     """
 
     hedge_burst: float = 5.0
@@ -118,9 +116,9 @@
 class Service:
     """A service: its groups, one for each shard, and the policy of its requests.
 
-    `idempotent` services are queried; the others take requests that run at most
-    once, against a ticket. Budgets are shares of extra load: 0.05 allows five
-    extra calls in a hundred. Times are in milliseconds.
+    `idempotent` services take queries; the others take requests that run at most
+    once and need a ticket. Budgets are shares of extra load: 0.05 allows five extra
+    calls in a hundred. Times are in milliseconds.
     """
 
     name: str
@@ -139,7 +137,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Control:
-    """Timing of what hosts do together; times in milliseconds."""
+    """Timing and limits of the coordination between hosts; times in milliseconds."""
 
     probe_interval_ms: int = 1_000
     probe_timeout_ms: int = 300
@@ -156,8 +154,8 @@
 class Settings:
     """All settings of one deployment at one `version` of the platform's object.
 
-    Version 0 is the file that a host starts from; any version that the platform
-    gave is newer.
+    Version 0 is the file that a host starts with; all versions from the platform are
+    newer.
     """
 
     deployment: str
--- a/src/lavendergap/state/snapshot.py
+++ b/src/lavendergap/state/snapshot.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Shard:
-    """One shard of a partition map: who serves it and its share of the library."""
+    """One shard of a partition map: the group that serves it and its share."""
 
     name: str
     group: str
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Snapshot:
-    """One index version of a service with the partition map that belongs to it."""
+    """One index version of a service with its partition map."""
 
     service: str
     version: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Published:
-    """All snapshots of a service that the indexer has published, newest last.
+    """All published snapshots of a service, newest last.
 
     `object_version` is the version of the platform's object `index/SERVICE`.
     """
--- a/src/lavendergap/state/ticket.py
+++ b/src/lavendergap/state/ticket.py
@@ -1,9 +1,9 @@
-"""Tickets for requests that must run at most once, and what is said about them.
+"""Tickets for requests that must run at most once, and the messages about them.
 
 A ticket names the one process that may run the request (its issuer, by host and
 incarnation) and the process that keeps a second record of it (its witness). An
-incarnation is a number that a process takes when it starts: no two lives of a host
-share one, and a later life has a greater one.
+incarnation is a number that a process takes when it starts: each process of a host
+has a different one, and a later process a greater one.
 """
 
 import hmac
@@ -17,7 +17,7 @@
 FORMAT = "1"
 MAX_TICKET_CHARS = 512
 MAC_BYTES = 8
-# The separator is outside of the alphabet of names and safe in a URL's path.
+# The separator is not allowed in names and is safe in a URL path.
 SEPARATOR = "~"
 _NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
 _NUMBER = re.compile(r"0|[1-9][0-9]{0,19}")
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Peer:
-    """One life of a host's process: the host's name and the incarnation."""
+    """One process of a host: the host's name and the incarnation."""
 
     host: str
     incarnation: int
@@ -36,7 +36,7 @@
 
 
 class TicketProblem(StrEnum):
-    """Why a ticket is refused; no request runs and no state changes."""
+    """Why a ticket is refused. No request runs and no state changes."""
 
     TOO_LONG = "ticket too long"
     MALFORMED = "malformed ticket"
@@ -49,18 +49,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BadTicket:
-    """A text that is no ticket, or not one for the service that was asked."""
+    """A text that is not a valid ticket for the requested service."""
 
     reason: TicketProblem
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """The right to have one request run at most once, by its issuer alone.
+    """The permission to run one request at most once, on its issuer only.
 
-    `witness` is None when no other host was live at issue time. `mac` is 16
-    hexadecimal digits that only the issuer can compute or check. The text form is
-    what callers hold:
+    `witness` is None if no other host was live at issue time. `mac` is 16 hexadecimal
+    digits that only holders of the issuer's secret can compute or check. Callers get
+    the text form:
 
     >>> ticket = Ticket(
     ...     service="sponsor-ledger", issuer=Peer(host="ptl-a-1", incarnation=7),
@@ -98,12 +98,12 @@
 
 
 def is_ticket_name(name: str) -> bool:
-    """Tell whether a service or host of this name can stand in a ticket."""
+    """Return whether `name` is valid as a service or host in a ticket."""
     return _NAME.fullmatch(name) is not None
 
 
 def compute_mac(ticket: Ticket, secret: bytes) -> str:
-    """Return the MAC of a ticket, under a secret of 16 to 64 bytes."""
+    """Return the MAC of a ticket for a secret of 16 to 64 bytes."""
     text = ticket.signed_text.encode("ascii")
     return blake2b(text, key=secret, digest_size=MAC_BYTES).hexdigest()
 
@@ -114,9 +114,9 @@
 
 
 def parse_ticket(text: str, *, service: str | None = None) -> Ticket | BadTicket:
-    """Read a ticket's text; check its shape and, if given, its service.
+    """Parse a ticket's text and check its syntax and, if given, its service.
 
-    Only the issuer can tell whether a well-formed ticket is genuine.
+    The MAC is not verified; that takes the issuer's secret.
 
     >>> parse_ticket("1~sponsor-ledger~ptl-a-1~7")
     BadTicket(reason=<TicketProblem.MALFORMED: 'malformed ticket'>)
@@ -144,7 +144,7 @@
 
 
 def _are_well_formed(fields: list[str]) -> bool:
-    """Check all fields but the first; one ticket has exactly one text."""
+    """Check all fields but the first. Each ticket has exactly one valid text."""
     match fields:
         case [_, service, issuer, incarnation, serial, witness, at, mac]:
             names = [service, issuer]
@@ -160,16 +160,16 @@
             return False
 
 
-# What an issuer asks of a witness.
+# Requests to a witness.
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenIssuer:
-    """Make an issuer known to a witness, once, before its tickets name the witness.
+    """Register an issuer with a witness, once, before its tickets name the witness.
 
-    The secret lets the witness refuse forged tickets too. A witness answers
-    `Forgotten` to all about an issuer that it does not know, so that it needs no
-    memory of those that it dropped. Answered by `Kept` or `Forgotten`.
+    The secret lets the witness refuse forged tickets. A witness answers `Forgotten`
+    to all requests about an unregistered issuer, so it need not remember the issuers
+    that it dropped. Answered by `Kept` or `Forgotten`.
     """
 
     issuer: Peer
@@ -189,9 +189,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecordEnded:
-    """Give the witness the outcome, so that it survives the issuer.
+    """Send the witness the outcome, so that it survives the issuer.
 
-    Answered by `Kept` or `Forgotten`; may be sent again until then.
+    Answered by `Kept` or `Forgotten`; may be repeated until answered.
     """
 
     ticket: Ticket
@@ -200,9 +200,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CloseIssuer:
-    """Tell the witness that a stopping issuer starts nothing any more.
+    """Report to the witness that a stopping issuer starts no more requests.
 
-    Each of its tickets that the witness has not seen started is void from now on.
+    Tickets of the issuer that are not recorded as started are void from then on.
     Answered by `Kept` or `Forgotten`.
     """
 
@@ -214,8 +214,8 @@
 class VoidTicket:
     """Ask the witness to void a ticket unless it has been started.
 
-    Any host asks this when the issuer cannot be asked. Answered by `Voided`,
-    `Started`, `Forgotten` or, for a forged ticket, `Refused`.
+    Sent by any host if the issuer does not answer. Answered by `Voided`, `Started`,
+    `Forgotten` or, for a forged ticket, `Refused`.
     """
 
     ticket: Ticket
@@ -224,51 +224,51 @@
 WitnessRequest = OpenIssuer | RecordStarted | RecordEnded | CloseIssuer | VoidTicket
 
 
-# What a witness answers.
+# Answers of a witness.
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """The ticket is refused, by its issuer or witness; nothing ran or changed."""
+    """The issuer or witness refused the ticket; no request ran, no state changed."""
 
     reason: TicketProblem
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ack:
-    """The ticket stands recorded as started; it will never be voided."""
+    """The ticket is recorded as started and will never be voided."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Void:
-    """The ticket had been voided: it must never run."""
+    """The ticket had been voided already: its request must never run."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Voided:
-    """The ticket is void: it never started and never will."""
+    """The ticket is void: its request never started and never will."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Started:
-    """The ticket was started, with its outcome if the witness was told."""
+    """The ticket was started; `outcome` is None if the witness has none yet."""
 
     outcome: Outcome | None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Forgotten:
-    """The witness can say nothing: it dropped the record, or is a later process."""
+    """The witness has no record: it dropped the record, or it was restarted."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Kept:
-    """The witness holds what it was told."""
+    """The witness has recorded the message."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WitnessLost:
-    """No answer from the witness within the time that it was given."""
+    """The witness did not answer within the timeout."""
 
 
 StartedReply = Ack | Void | Forgotten | Refused | WitnessLost
@@ -276,36 +276,36 @@
 KeptReply = Kept | Forgotten | Refused
 
 
-# What an issuer answers to the hosts that pass requests and questions to it.
+# Answers of an issuer to hosts that forward requests and queries for outcomes.
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """Run the request now. Said once for each ticket, in all its issuer's life."""
+    """Run the request now. Returned at most once for each ticket."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AlreadyRunning:
-    """The request is being recorded or run; its outcome will answer all who ask."""
+    """The request is being recorded or run; all who wait get the same outcome."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotBegun:
-    """The ticket is good and no request has come with it yet."""
+    """The ticket is valid and no request has been received with it yet."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Known:
-    """The outcome, the same for each repeat of the request."""
+    """The outcome, which is the same for each repeat of the request."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class IssuerLost:
-    """The issuer's process is gone, or gave no answer within its time."""
+    """The issuer's process is gone or did not answer within the timeout."""
 
 
 IssuerReply = Known | AlreadyRunning | NotBegun | Refused | IssuerLost
