--- a/src/lavendergap/protocol/account.py
+++ b/src/lavendergap/protocol/account.py
@@ -1,7 +1,7 @@
-"""What became of callers' requests, and where the lost ones lost their time.
+"""Statistics of callers' requests from the hosts' logs: results, latency, causes.
 
-Reads log lines of all hosts in any order across hosts, and keeps only what it counts:
-the memory is that of the requests under way, whatever the length of the logs.
+Lines of different hosts may come in any order. Memory use depends on the number of
+requests in progress, not on the length of the logs.
 """
 
 from collections import Counter, OrderedDict
@@ -11,12 +11,12 @@
 
 from .loglines import LogLine
 
-MAX_OPEN = 50_000
-"""Requests without a last line that are remembered: the lines of hosts are read one
-file after the other, so that an owner's may come long before the coordinator's."""
+MAX_OPEN_REQUESTS = 50_000
+"""Traces kept of requests without a final line. Hosts' files are read one after the
+other, so an owner's lines may come long before the coordinator's final one."""
 
-MAX_MS = 60_000
-"""Longer requests are counted as of this many milliseconds."""
+MAX_DURATION_MS = 60_000
+"""Longer durations, in milliseconds, are counted as this one."""
 
 
 class End(StrEnum):
@@ -30,8 +30,8 @@
 
 
 @dataclass(slots=True)
-class Trace:
-    """What the hosts did for one request, as far as it decides its cause."""
+class RequestTrace:
+    """The logged events of one request from which its cause is derived."""
 
     lost_owners: list[str] = field(default_factory=list)
     withheld: Counter[str] = field(default_factory=Counter)
@@ -51,23 +51,23 @@
 
     @property
     def n_asked(self) -> int:
-        """All requests that came to their end."""
+        """The number of requests that ended."""
         return self.ends.total()
 
     def get_quantile_ms(self, share: float) -> int:
         """Return the milliseconds within which `share` of the requests ended."""
         wanted = share * self.ms.total()
-        seen = 0
+        n_seen = 0
         for ms in sorted(self.ms):
-            seen += self.ms[ms]
-            if seen >= wanted:
+            n_seen += self.ms[ms]
+            if n_seen >= wanted:
                 return ms
         return 0
 
 
 @dataclass(slots=True)
-class Second:
-    """One second of all hosts: what callers lost, and what was believed anew."""
+class SecondCounts:
+    """One second of all hosts: requests, losses and events without a request."""
 
     n_asked: int = 0
     n_lost: int = 0
@@ -79,13 +79,13 @@
 
     def __init__(self) -> None:
         self.routes: dict[str, RouteAccount] = {}
-        self.seconds: dict[str, Second] = {}
+        self.seconds: dict[str, SecondCounts] = {}
         self.n_lines = 0
         self.n_bad = 0
-        self._open: OrderedDict[str, Trace] = OrderedDict()
+        self._open_traces: OrderedDict[str, RequestTrace] = OrderedDict()
 
     def note_bad(self) -> None:
-        """Count a line that is no log line."""
+        """Count a line that is not a valid log line."""
         self.n_bad += 1
 
     def note(self, line: LogLine) -> None:
@@ -93,20 +93,22 @@
         self.n_lines += 1
         if not line.request_id:
             if line.event:
-                self._get_second(line).beliefs[line.event] += 1
+                self._get_second_counts(line).beliefs[line.event] += 1
             return
         match line.event:
             case "done":
-                self._end(line, self._open.pop(line.request_id, Trace()))
+                self._count_end(
+                    line, self._open_traces.pop(line.request_id, RequestTrace())
+                )
             case "caller left":
-                self._open.pop(line.request_id, None)
+                self._open_traces.pop(line.request_id, None)
                 self._get_route(line).ends[End.LEFT] += 1
-                self._get_second(line).n_asked += 1
+                self._get_second_counts(line).n_asked += 1
             case _:
-                self._follow(line)
+                self._update_trace(line)
 
-    def _follow(self, line: LogLine) -> None:
-        trace = self._open.setdefault(line.request_id, Trace())
+    def _update_trace(self, line: LogLine) -> None:
+        trace = self._open_traces.setdefault(line.request_id, RequestTrace())
         match line.event:
             case "owner lost":
                 trace.lost_owners.append(str(line.fields.get("host", "")))
@@ -118,17 +120,17 @@
                 trace.n_retries += 1
             case "plan":
                 trace.n_queued += _read_int(line.fields, "n_queued")
-        if len(self._open) > MAX_OPEN:
-            self._open.popitem(last=False)
+        if len(self._open_traces) > MAX_OPEN_REQUESTS:
+            self._open_traces.popitem(last=False)
 
-    def _end(self, line: LogLine, trace: Trace) -> None:
-        end = judge_end(line)
+    def _count_end(self, line: LogLine, trace: RequestTrace) -> None:
+        end = classify_end(line)
         route = self._get_route(line)
         route.ends[end] += 1
-        route.ms[min(MAX_MS, int(_read_number(line.fields, "ms")))] += 1
+        route.ms[min(MAX_DURATION_MS, int(_read_number(line.fields, "ms")))] += 1
         is_partial = _read_int(line.fields, "n_missing") > 0
         route.n_partial += is_partial
-        second = self._get_second(line)
+        second = self._get_second_counts(line)
         second.n_asked += 1
         if end is not End.IN_TIME:
             second.n_lost += 1
@@ -138,18 +140,18 @@
     def _get_route(self, line: LogLine) -> RouteAccount:
         return self.routes.setdefault(str(line.fields.get("route", "")), RouteAccount())
 
-    def _get_second(self, line: LogLine) -> Second:
-        return self.seconds.setdefault(line.time[:19], Second())
+    def _get_second_counts(self, line: LogLine) -> SecondCounts:
+        return self.seconds.setdefault(line.time[:19], SecondCounts())
 
-    def list_worst_seconds(self, n_wanted: int) -> list[tuple[str, Second]]:
-        """Return the seconds in which most callers lost, in their order."""
-        lossy = [(at, each) for at, each in self.seconds.items() if each.n_lost]
-        lossy.sort(key=lambda pair: (-pair[1].n_lost, pair[0]))
-        return sorted(lossy[:n_wanted], key=lambda pair: pair[0])
+    def list_worst_seconds(self, n_wanted: int) -> list[tuple[str, SecondCounts]]:
+        """Return the `n_wanted` seconds with the most lost requests, in time order."""
+        with_losses = [(at, each) for at, each in self.seconds.items() if each.n_lost]
+        with_losses.sort(key=lambda pair: (-pair[1].n_lost, pair[0]))
+        return sorted(with_losses[:n_wanted], key=lambda pair: pair[0])
 
 
-def judge_end(line: LogLine) -> End:
-    """Return how a request ended, by the line of its end."""
+def classify_end(line: LogLine) -> End:
+    """Return how a request ended, according to its final line."""
     match str(line.fields.get("outcome", "")):
         case "answered" | "partly answered":
             ms = _read_number(line.fields, "ms")
@@ -161,8 +163,8 @@
             return End.FAILED
 
 
-def find_cause(line: LogLine, trace: Trace) -> str:
-    """Return where a request lost its time or its parts, the nearest cause first."""
+def find_cause(line: LogLine, trace: RequestTrace) -> str:
+    """Return the most likely cause of a delay, a failure or missing shards."""
     fields = line.fields
     if fields.get("reason"):
         return f"{fields['reason']} in {fields.get('step', '?')}"
--- a/src/lavendergap/protocol/answers.py
+++ b/src/lavendergap/protocol/answers.py
@@ -1,4 +1,4 @@
-"""The JSON that callers get, built from typed outcomes."""
+"""The JSON bodies sent to callers, built from typed outcomes."""
 
 from dataclasses import dataclass
 
@@ -6,12 +6,12 @@
 
 from ..state.outcome import Coverage, NotRun, Outcome, Unknown
 
-RETRY_AFTER_DEFAULT_MS = 1_000
+DEFAULT_RETRY_AFTER_MS = 1_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardResult:
-    """What one shard answered, as the JSON text that its server sent."""
+    """The answer of one shard, as the JSON text that its server sent."""
 
     shard: str
     result: bytes
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SearchResult:
-    """A query's answer: `outcome` is "answered" only when all shards are covered."""
+    """The answer to a query, which may lack some shards."""
 
     request_id: str
     service: str
@@ -35,21 +35,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refusal:
-    """A request that has no answer: `outcome` is NotRun or Unknown."""
+    """A request without an answer."""
 
     request_id: str
     outcome: NotRun | Unknown
 
 
 class SnapshotBody(msgspec.Struct):
-    """Which snapshot an answer is from."""
+    """The snapshot that an answer is based on."""
 
     service: str
     version: int
 
 
 class MissingBody(msgspec.Struct):
-    """A shard that is not covered."""
+    """A shard that the answer does not cover."""
 
     shard: str
     reason: str
@@ -58,7 +58,7 @@
 
 
 class CoverageBody(msgspec.Struct):
-    """How much of the snapshot an answer covers."""
+    """The part of the snapshot that an answer covers."""
 
     asked: int
     answered: int
@@ -84,7 +84,7 @@
 
 
 class RefusalBody(msgspec.Struct):
-    """The body of a request that was not run, or of which nothing is known."""
+    """The body of the response to a request without an answer."""
 
     request_id: str
     outcome: str
@@ -95,7 +95,7 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """The body of an answer to bad input."""
+    """The body of the response to invalid input."""
 
     error: str
 
@@ -134,7 +134,7 @@
 
 
 def name_outcome(outcome: Outcome) -> str:
-    """Return the tag that callers and metrics see."""
+    """Return the outcome's name in bodies and metrics."""
     match outcome:
         case NotRun():
             return "not run"
@@ -145,7 +145,7 @@
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
-    """Return the JSON body of a request that has no answer."""
+    """Return the JSON body of the response to a request without an answer."""
     outcome = refusal.outcome
     return _encode(
         RefusalBody(
@@ -160,14 +160,14 @@
 
 
 def get_retry_after_ms(outcome: NotRun | Unknown) -> int:
-    """Return when a caller should come back, in milliseconds."""
+    """Return how long a caller should wait before a retry, in milliseconds."""
     match outcome:
         case NotRun(retry_after_ms=after) if after > 0:
             return after
         case _:
-            return RETRY_AFTER_DEFAULT_MS
+            return DEFAULT_RETRY_AFTER_MS
 
 
 def encode_error(error: str) -> bytes:
-    """Return the JSON body of an answer to bad input."""
+    """Return the JSON body of the response to invalid input."""
     return _encode(ErrorBody(error=error))
--- a/src/lavendergap/protocol/loglines.py
+++ b/src/lavendergap/protocol/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of the hosts' logs, read back."""
+"""The parser of the hosts' log lines."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 import msgspec
 
 _MAX_LINE_BYTES = 1_000_000
-"""Longer lines are none of ours: the log cuts its own far below that."""
+"""Longer lines are not log lines: hosts truncate theirs far below this."""
 
 
 class _Line(msgspec.Struct):
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One decision that a host logged; `fields` are the inputs of the decision."""
+    """One log line of a host; `fields` holds all fields of its JSON object."""
 
     host: str
     time: str
@@ -27,10 +27,10 @@
 
 
 def read_line(text: str, *, host: str) -> LogLine | None:
-    """Return the line, or None for what is none.
+    """Return the parsed line, or None if `text` is not a log line.
 
-    Collectors put words before the JSON, the last of them the host's name; without
-    any it is `host`.
+    Log collectors prefix the JSON with words, of which the last is the host's name.
+    Without a prefix, the line's host is `host`.
 
     >>> line = read_line('12.5 ptl-a-1 {"event": "done", "ms": 3}', host="x")
     >>> line.host, line.event, line.fields["ms"]
@@ -38,7 +38,7 @@
     >>> read_line("Traceback (most recent call last):", host="x") is None
     True
     """
-    before, brace, rest = text.partition("{")
+    prefix, brace, rest = text.partition("{")
     if not brace or len(text) > _MAX_LINE_BYTES:
         return None
     try:
@@ -46,7 +46,7 @@
         known = msgspec.convert(fields, _Line)
     except (msgspec.MsgspecError, UnicodeError, RecursionError):
         return None
-    words = before.split()
+    words = prefix.split()
     return LogLine(
         host=words[-1] if words else host,
         time=known.time,
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lavendergap.commands.main import run
-from lavendergap.protocol.account import MAX_OPEN, Account
+from lavendergap.protocol.account import MAX_OPEN_REQUESTS, Account
 from lavendergap.protocol.loglines import LogLine, read_line
 
 
@@ -179,7 +179,7 @@
 
     def test_requests_that_never_end_are_forgotten(self):
         account = Account()
-        for number in range(MAX_OPEN + 10):
+        for number in range(MAX_OPEN_REQUESTS + 10):
             account.note(
                 LogLine(
                     host="a-1",
@@ -189,4 +189,4 @@
                     fields={},
                 )
             )
-        assert len(account._open) == MAX_OPEN
+        assert len(account._open_traces) == MAX_OPEN_REQUESTS
