--- a/src/lavendergap/protocol/__init__.py
+++ b/src/lavendergap/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages on the wire and their codecs; bytes in, data classes out."""
+"""Typed messages, their codecs, and readers of external formats; no I/O."""
--- a/src/lavendergap/protocol/forwarding.py
+++ b/src/lavendergap/protocol/forwarding.py
@@ -1,7 +1,7 @@
-"""What goes with a forwarded request, and what a server's answer to it proves.
+"""The headers of forwarded requests, and the validation of servers' answers.
 
-The names of the headers belong to the platform; `HeaderNames` says what each one
-holds, and all else here speaks of that.
+The platform defines the names of the headers; `HeaderNames` maps their meanings to
+these names.
 """
 
 import math
@@ -16,9 +16,8 @@
 from ..state.outcome import Answered, Coverage, NotRun, Outcome, Reason, Step, Unknown
 from .leaf import Reply, Verdict
 
-# Headers that concern one connection only (RFC 9110, 7.6.1); each side of a proxy
-# has its own. The length is stated anew for the body that is sent.
-CONNECTION_HEADERS = frozenset(
+# Not forwarded (RFC 9110, 7.6.1). Content-Length is set anew for the body sent.
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -32,23 +31,24 @@
         b"upgrade",
     }
 )
-LONGEST_RETRY_AFTER_MS = 10_000
-# Requests under way whose common bytes are kept; a few hundred run on a host at most.
-RENDERED_REQUESTS = 256
-MISDIRECTED = 421
-SUCCESS_END = 300
-SERVER_ERRORS = 500
+MAX_RETRY_AFTER_MS = 10_000
+# Above the number of requests that a host usually runs at once.
+MAX_CACHED_HEADS = 256
+MISDIRECTED_REQUEST_STATUS = 421
+MIN_NON_SUCCESS_STATUS = 300
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeaderNames:
-    """How the platform names the headers that mean something to this product.
-
-    `attempt` is the caller's id of a request, which an answer repeats. `time_left`
-    is in milliseconds. `proof` is what a server puts to its whole answer, and
-    `proofs` and `n_missing` are for an answer joined from several. `expected_server`
-    names the only server that may run a request, `server` the one that answers.
-    `not_run` marks a server's refusal as such; `load` holds running, waiting, slots.
+    """The platform's names of the headers that are read or written here.
+
+    `attempt` is the caller's id of a request, which an answer repeats. `time_left` is
+    the time to the deadline in milliseconds. `proof` is set by a server on each
+    complete answer; `proofs` and `n_missing` are for a merged answer.
+    `expected_server` is the id of the only server that may run the request, `server`
+    that of the answering one. `not_run` marks a refused request. `load` holds the
+    numbers of running and waiting requests and of slots.
     """
 
     attempt: bytes
@@ -66,9 +66,9 @@
 class JoinedRecords:
     """The greatest records of the shards that `coverage` counts as answered.
 
-    `proofs` holds the headers by which each of these shards' servers vouches for its
-    part, by shard. `cut_at` is the time on the loop's clock at which waiting for
-    stragglers was to end, None where nothing was waited for any more.
+    `proofs` holds, by shard, the proof headers that the shard's server sent with its
+    part. `cut_at` is the time on the event loop's clock at which the wait for
+    stragglers was to end; None if there was nothing left to wait for.
     """
 
     records: bytes
@@ -78,13 +78,13 @@
 
 
 def keep_end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that go on, with their names in lower case.
+    """Return the end-to-end headers, with lower-case names.
 
     >>> keep_end_to_end([(b"Connection", b"x-a"), (b"X-A", b"1"), (b"X-B", b"2")])
     ((b'x-b', b'2'),)
     """
     lowered = [(name.lower(), value) for name, value in headers]
-    dropped = set(CONNECTION_HEADERS)
+    dropped = set(HOP_BY_HOP_HEADERS)
     for name, value in lowered:
         if name == b"connection":
             dropped.update(token.strip().lower() for token in value.split(b","))
@@ -99,13 +99,13 @@
     left_ms: int,
     body: bytes,
 ) -> bytes:
-    """Return the bytes of one attempt at `request` on the server of that id.
+    """Return the bytes of one attempt at `request` on the server with id `server`.
 
-    An address may have passed to another service since it was learnt; a server that
-    is not the one named refuses, and has run nothing.
+    The address may have been reassigned to another service since it was registered.
+    A server with another id refuses the request without running it.
     """
     lines = [
-        _render_common(request, names),
+        _render_shared_head(request, names),
         b"%s: %d\r\n" % (names.time_left, left_ms),
         b"%s: %s\r\n" % (names.expected_server, server.encode()),
     ]
@@ -114,15 +114,17 @@
     return b"".join([*lines, b"\r\n", body])
 
 
-@lru_cache(maxsize=RENDERED_REQUESTS)
-def _render_common(request: ForwardedRequest, names: HeaderNames) -> bytes:
-    """Return what all attempts at a request have in common, as h11 writes it.
+@lru_cache(maxsize=MAX_CACHED_HEADS)
+def _render_shared_head(request: ForwardedRequest, names: HeaderNames) -> bytes:
+    """Return the part of the head that all attempts share, validated by h11.
 
-    The attempts of a query differ in two headers. Rendered and checked for each of
-    them, a request took as long as all other work for the attempt.
+    The attempts of a request differ in two headers only. The result is cached because
+    validation by h11 costs as much as the rest of an attempt.
     """
-    own = {names.time_left, names.expected_server}
-    headers = [(name, value) for name, value in request.headers if name not in own]
+    per_attempt = {names.time_left, names.expected_server}
+    headers = [
+        (name, value) for name, value in request.headers if name not in per_attempt
+    ]
     head = h11.Request(method=request.method, target=request.target, headers=headers)
     rendered = h11.Connection(h11.CLIENT).send(head)
     assert rendered is not None
@@ -137,41 +139,41 @@
     server: str,
     is_part: bool = False,
 ) -> Verdict:
-    """Return what a server's reply to `request` proves.
+    """Return the outcome that a server's reply to `request` proves.
 
-    Of a part that is joined with others only the proof goes on: the other headers,
-    some 200 bytes, would cross between data centres with each part for nothing.
+    With `is_part` the answer is merged with others and keeps only its proof header;
+    the others would use bandwidth between data centres for nothing.
     """
     report = read_load(reply.headers.get(names.load))
-    outcome = _judge(reply, request, names, server)
+    outcome = _check_reply(reply, request, names, server)
     if is_part and isinstance(outcome, Answered):
-        outcome = _take_part(reply, names, server)
+        outcome = _strip_part(reply, names, server)
     return Verdict(outcome=outcome, report=report)
 
 
-def _take_part(reply: Reply, names: HeaderNames, server: str) -> Outcome:
-    if reply.status >= SUCCESS_END:
+def _strip_part(reply: Reply, names: HeaderNames, server: str) -> Outcome:
+    if reply.status >= MIN_NON_SUCCESS_STATUS:
         return Unknown(step=Step.RECEIVE, peer=server, reason=Reason.SERVER_ERROR)
     proof = reply.headers[names.proof]
     return Answered(body=reply.body, headers=((names.proof, proof),))
 
 
-def _judge(
+def _check_reply(
     reply: Reply, request: ForwardedRequest, names: HeaderNames, server: str
 ) -> Outcome:
     fields = reply.headers
-    # A server may answer twice, or late on a connection that was used again since.
-    # Such an answer looks whole and is another caller's; only the id tells.
+    # A server may answer twice, or late on a reused connection. Such an answer looks
+    # valid but belongs to another caller's request; only the id shows it.
     is_own = fields.get(names.attempt) == request.attempt
-    if names.not_run in fields or reply.status == MISDIRECTED:
+    if names.not_run in fields or reply.status == MISDIRECTED_REQUEST_STATUS:
         if not is_own and names.attempt in fields:
             return Unknown(step=Step.CHECK, peer=server, reason=Reason.WRONG_ANSWER)
         return _read_refusal(reply, server)
     if not is_own:
         return Unknown(step=Step.CHECK, peer=server, reason=Reason.WRONG_ANSWER)
-    if reply.status >= SERVER_ERRORS:
+    if reply.status >= MIN_SERVER_ERROR_STATUS:
         return Unknown(step=Step.RECEIVE, peer=server, reason=Reason.SERVER_ERROR)
-    if reply.status < SUCCESS_END and names.proof not in fields:
+    if reply.status < MIN_NON_SUCCESS_STATUS and names.proof not in fields:
         return Unknown(step=Step.CHECK, peer=server, reason=Reason.WRONG_ANSWER)
     return Answered(
         body=reply.body,
@@ -182,7 +184,7 @@
 
 def _read_refusal(reply: Reply, server: str) -> NotRun:
     reason = Reason.SHED
-    if reply.status == MISDIRECTED:
+    if reply.status == MISDIRECTED_REQUEST_STATUS:
         reason = Reason.NO_REPLICA
     elif reply.status == 400:
         reason = Reason.WRONG_ANSWER
@@ -195,18 +197,18 @@
 
 
 def _read_retry_after(text: bytes) -> int:
-    """Return milliseconds; 0 for what is missing or makes no sense."""
+    """Return milliseconds, or 0 if the header is missing or invalid."""
     try:
         seconds = float(text)
     except ValueError:
         return 0
     if not math.isfinite(seconds) or seconds < 0:
         return 0
-    return min(LONGEST_RETRY_AFTER_MS, int(seconds * 1_000))
+    return min(MAX_RETRY_AFTER_MS, int(seconds * 1_000))
 
 
 def read_load(text: bytes | None) -> ServerReport | None:
-    """Return what a server says of its load, or None when it makes no sense.
+    """Return the load that a server reports, or None if it is missing or invalid.
 
     >>> read_load(b"3,0,8").in_use, read_load(b"3,x")
     (3, None)
--- a/src/lavendergap/protocol/leaf.py
+++ b/src/lavendergap/protocol/leaf.py
@@ -1,7 +1,7 @@
-"""The headers of calls to backend servers, and what their answers prove.
+"""The headers of calls to backend servers, and the validation of their answers.
 
-An answer counts only when it names the attempt, the shard and the index version
-that were asked for; see docs/design/interfaces.md for the table of statuses.
+An answer is valid only if it names the attempt, the shard and the index version of
+the call; see docs/design/interfaces.md for the table of statuses.
 """
 
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 Headers = list[tuple[bytes, bytes]]
 
 DEFAULT_RETRY_AFTER_MS = 1_000
-LONGEST_RETRY_AFTER_MS = 3_600_000
-# What fits into the messages between peers; a server that names more is not believed.
+MAX_RETRY_AFTER_MS = 3_600_000
+# The largest version that fits into the messages between peers.
 MAX_VERSION = 2**63 - 1
-STATES: dict[bytes, ServerState] = {
+SERVER_STATES: dict[bytes, ServerState] = {
     b"serving": "serving",
     b"starting": "starting",
     b"draining": "draining",
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """One whole HTTP answer of a backend server; names of headers in lower case."""
+    """A complete HTTP answer of a backend server, with lower-case header names."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """What a reply proves about the call, and what the server says of itself."""
+    """The outcome of a call, and the load that the server reported with it."""
 
     outcome: Outcome
     report: ServerReport | None
 
 
 def build_headers(call: Call, *, attempt: bytes, host: bytes, left_ms: int) -> Headers:
-    """Return the headers of an attempt at `call` with `left_ms` to its deadline."""
+    """Return the headers of an attempt at `call`; `left_ms` is to its deadline."""
     headers = [
         (b"Host", host),
         (b"Content-Type", b"application/json"),
@@ -59,7 +59,7 @@
 
 
 def judge_reply(reply: Reply, call: Call, *, attempt: bytes, server: str) -> Verdict:
-    """Return what the reply proves; nothing is assumed beyond what it states."""
+    """Return the outcome that the reply proves; missing headers are not assumed."""
     if reply.status == 200:
         outcome = _check_answer(reply, call, attempt=attempt, server=server)
     else:
@@ -68,22 +68,22 @@
 
 
 def _check_answer(reply: Reply, call: Call, *, attempt: bytes, server: str) -> Outcome:
-    # Connections are reused and servers err: an answer may belong to another
-    # attempt, shard or index version. Taken at its word it would be a wrong
-    # result that looks right, so each must be stated and must match.
-    wrong = Unknown(step=Step.CHECK, peer=server, reason=Reason.WRONG_ANSWER)
+    # On reused connections, or by a server's fault, an answer may belong to another
+    # attempt, shard or index version. Accepting it would return a wrong result that
+    # looks right, so each of them must be present and match.
+    wrong_answer = Unknown(step=Step.CHECK, peer=server, reason=Reason.WRONG_ANSWER)
     fields = reply.headers
     if fields.get(b"attempt") != attempt:
-        return wrong
+        return wrong_answer
     if call.idempotent:
         if fields.get(b"shard") != call.shard.encode():
-            return wrong
+            return wrong_answer
         if fields.get(b"index-version") != b"%d" % call.version:
-            return wrong
+            return wrong_answer
     try:
         _check_json(reply.body)
     except msgspec.DecodeError:
-        return wrong
+        return wrong_answer
     return Answered(body=reply.body)
 
 
@@ -111,15 +111,15 @@
         after = float(fields.get(b"retry-after", b"")) * 1_000
     except ValueError:
         return DEFAULT_RETRY_AFTER_MS
-    # A server may send "inf" or a number that no peer's message can carry, and the
-    # error would end the whole process for one bad header.
-    if not 0 <= after <= LONGEST_RETRY_AFTER_MS:
+    # "inf", or a number too large for a message to a peer, would raise an error that
+    # ends the process.
+    if not 0 <= after <= MAX_RETRY_AFTER_MS:
         return DEFAULT_RETRY_AFTER_MS
     return int(after)
 
 
 def read_report(fields: dict[bytes, bytes]) -> ServerReport | None:
-    """Return what a server states of its load, or None when it states nothing.
+    """Return the load that a server reports, or None if it is missing or invalid.
 
     >>> read_report({b"load": b"1/2/0", b"server-state": b"serving",
     ...              b"index-versions": b"6,7"}).versions
@@ -132,7 +132,7 @@
             in_use=int(in_use),
             slots=int(slots),
             queued=int(queued),
-            state=STATES[fields.get(b"server-state", b"serving")],
+            state=SERVER_STATES[fields.get(b"server-state", b"serving")],
             versions=versions,
         )
     except (KeyError, ValueError):
