--- a/src/lavendergap/protocol/gossip.capnp
+++ b/src/lavendergap/protocol/gossip.capnp
@@ -1,5 +1,5 @@
-# The datagrams by which entry hosts watch over each other. A leading byte outside
-# of this message carries the version of the whole format.
+# The datagrams of the gossip protocol between hosts. A byte before this message
+# carries the version of the whole format.
 @0xd2f1c7a95b3e8046;
 
 enum State {
@@ -16,7 +16,7 @@
   port @3 :UInt16;
   state @4 :State;
   refutations @5 :UInt32;
-  incarnation @6 :UInt64;    # Milliseconds since 1970, when the process started.
+  incarnation @6 :UInt64;    # Start time of the process, in Unix milliseconds.
   settingsVersion @7 :UInt64;
 }
 
@@ -32,16 +32,16 @@
 }
 
 struct Datagram {
-  deployment @0 :UInt64;     # Hash of its name, so that fleets never mix.
+  deployment @0 :UInt64;     # Hash of its name, so that fleets don't merge.
   source @1 :Member;
   sequence @2 :UInt64;
   documents @3 :Documents;
-  members @4 :List(Member);  # Updates that ride along, or a part of the table.
+  members @4 :List(Member);  # Piggybacked updates, or a part of the table.
   union {
     ping @5 :Void;
     probeRequest @6 :Member;
     ack @7 :Void;
-    passedOn @8 :Member;     # An ack that a third host passes on.
+    passedOn @8 :Member;     # The subject of an ack relayed by a third host.
     gossip @9 :Void;
     table @10 :Void;
     summary @11 :Summary;
--- a/src/lavendergap/protocol/gossip.py
+++ b/src/lavendergap/protocol/gossip.py
@@ -1,4 +1,4 @@
-"""The codec of the datagrams by which hosts watch over each other."""
+"""The codec of the gossip protocol's datagrams."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -24,22 +24,22 @@
 from ..state.settings import Address
 
 FORMAT_VERSION = 1
-"""The first byte of each datagram; hosts that speak another one are not heard."""
+"""The first byte of each datagram; datagrams of other versions are dropped."""
 
 MAX_DATAGRAM_BYTES = 1_400
-"""Fits the usual 1,500 bytes of a frame with all headers, so nothing fragments."""
+"""Fits an Ethernet frame of 1,500 bytes with all headers, to avoid fragmentation."""
 
 MAX_NAME_BYTES = 64
 MAX_RECORDS = 64
-_TRAVERSAL_WORDS = 4_096
+_TRAVERSAL_LIMIT_WORDS = 4_096
 _STATES = tuple(MemberState)
-_RANKS = {state: rank for rank, state in enumerate(_STATES)}
+_STATE_NUMBERS = {state: rank for rank, state in enumerate(_STATES)}
 
 _schema = capnp.load(str(Path(__file__).with_name("gossip.capnp")))
 
 
 class RefusedReason(StrEnum):
-    """Why bytes are no message, or a message can't become a datagram."""
+    """Why a datagram can't be decoded, or a message can't be encoded."""
 
     TOO_LONG = "too long"
     OTHER_VERSION = "other version"
@@ -49,16 +49,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """A datagram that is dropped; there is no answer to it."""
+    """A datagram that is dropped without an answer, or a message that can't be sent."""
 
     reason: RefusedReason
 
 
 class GossipCodec:
-    """Turns messages into datagrams of one deployment and back.
+    """Encodes and decodes the datagrams of one deployment.
 
-    Datagrams of another deployment are refused: an address that changed hands
-    between two fleets would otherwise merge them.
+    Datagrams of other deployments are refused: they arrive if an address is reassigned
+    from one fleet to another, and would merge the two fleets' member tables.
 
     >>> from lavendergap.state.gossip import Gossip
     >>> own = Member(name="ptl-a-1", data_centre="ptl-a", incarnation=1,
@@ -75,7 +75,7 @@
         self._deployment = xxh3_64_intdigest(deployment.encode())
 
     def encode(self, message: Message) -> bytes | Refused:
-        """Return the datagram, or why it can't be sent."""
+        """Return the datagram, or `Refused` with the reason why it can't be sent."""
         datagram = _schema.Datagram.new_message()
         datagram.deployment = self._deployment
         _write_member(datagram.source, message.source)
@@ -87,7 +87,7 @@
         return encoded
 
     def decode(self, data: bytes) -> Message | Refused:
-        """Return the message, or why there is none; never raises on bad bytes."""
+        """Return the message, or `Refused`; never raises on malformed bytes."""
         if len(data) > MAX_DATAGRAM_BYTES:
             return Refused(reason=RefusedReason.TOO_LONG)
         if data[:1] != bytes([FORMAT_VERSION]):
@@ -95,12 +95,12 @@
         try:
             return self._read(data[1:])
         except (capnp.KjException, ValueError, LookupError, OSError):
-            # The library reads lazily, so that any access may find the damage.
+            # Cap'n Proto decodes lazily, so any field access may raise.
             return Refused(reason=RefusedReason.GARBLED)
 
     def _read(self, payload: bytes) -> Message | Refused:
         datagram = _schema.Datagram.from_bytes_packed(
-            payload, traversal_limit_in_words=_TRAVERSAL_WORDS
+            payload, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS
         )
         if datagram.deployment != self._deployment:
             return Refused(reason=RefusedReason.OTHER_DEPLOYMENT)
@@ -112,17 +112,17 @@
         case Ping(sequence=sequence, documents=documents, updates=updates):
             datagram.ping = None
             datagram.sequence = sequence
-            _write_news(datagram, documents, updates)
+            _write_updates(datagram, documents, updates)
         case Ack(sequence=sequence, documents=documents, updates=updates):
             if message.subject is None:
                 datagram.ack = None
             else:
                 _write_member(datagram.init("passedOn"), message.subject)
             datagram.sequence = sequence
-            _write_news(datagram, documents, updates)
+            _write_updates(datagram, documents, updates)
         case Gossip(documents=documents, updates=updates):
             datagram.gossip = None
-            _write_news(datagram, documents, updates)
+            _write_updates(datagram, documents, updates)
         case ProbeRequest(sequence=sequence, target=target):
             datagram.sequence = sequence
             _write_member(datagram.init("probeRequest"), target)
@@ -136,7 +136,7 @@
             summary.buckets = list(message.buckets)
 
 
-def _write_news(
+def _write_updates(
     datagram: Any, documents: DocumentsDigest, updates: Sequence[Member]
 ) -> None:
     written = datagram.documents
@@ -162,7 +162,7 @@
     written.dataCentre = member.data_centre
     written.ip = _pack_ip(member.peers.ip)
     written.port = member.peers.port
-    written.state = _RANKS[member.state]
+    written.state = _STATE_NUMBERS[member.state]
     written.refutations = member.refutations
     written.incarnation = member.incarnation
     written.settingsVersion = member.settings_version
@@ -205,7 +205,7 @@
                 buckets=tuple(_read_list(summary.buckets)),
             )
         case other:
-            raise ValueError(f"no such kind of datagram: {other}")
+            raise ValueError(f"unknown kind of datagram: {other}")
 
 
 def _read_ack(datagram: Any, source: Member, subject: Member | None) -> Ack:
--- a/src/lavendergap/protocol/messages.py
+++ b/src/lavendergap/protocol/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between entry processes on their channels."""
+"""The typed messages on the channels between hosts."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 
 class BadFrameError(Exception):
-    """Bytes that are no message of ours; `problem` says why."""
+    """The bytes are not a valid message; `problem` is the reason."""
 
     def __init__(self, *, problem: str) -> None:
         super().__init__(problem)
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Hello:
-    """The first message each way: who speaks, and in which format."""
+    """The first message in each direction: the sender and its format version."""
 
     format: int = FORMAT
     deployment: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ping:
-    """Asks for a Pong, to prove that the channel still carries bytes both ways."""
+    """Asks for a Pong, to check that the channel works in both directions."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GoingAway:
-    """The sender is stopping: it finishes what runs and wants nothing new."""
+    """The sender is stopping: it finishes running requests and accepts no new ones."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Greatest:
-    """Asks for the greatest records of all shards together, not for each answer.
-
-    `request` goes to the backend servers unchanged. `goal_ms` is the time until an
-    answer is wanted; for a part of it the receiver holds back what it has, so that
-    most of its shards share one message. `max_attempts` is for each shard,
-    `priority` ranks the query among others (0 is the most urgent);
-    `is_repeat` says that another host was asked for these shards before. Only servers
-    in `data_centres` may run it; an empty tuple allows all.
+    """Asks for the greatest records of all shards, merged, not for each shard's answer.
+
+    `request` is forwarded to the backend servers unchanged. `goal_ms` is the time until
+    an answer is wanted; for a part of it the receiver delays its results, so that most
+    of its shards share one message. `max_attempts` is per shard. `priority` ranks the
+    query among others; 0 is the most urgent. `is_repeat` is set if another host was
+    asked for these shards before. Only servers in `data_centres` may run the query; an
+    empty tuple allows all.
     """
 
     request: ForwardedRequest
@@ -74,9 +74,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Search:
-    """One query, for all the shards of it that the receiver owns.
+    """One query, for those of its shards that the receiver owns.
 
-    `left_ms` is the time until the deadline: clocks differ between hosts.
+    `left_ms` is the time to the deadline; it is relative, since hosts' clocks differ.
     """
 
     request_id: str
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardAnswer:
-    """The outcome for one shard, and the index versions its server now serves."""
+    """The outcome for one shard, and the index versions that its server now serves."""
 
     shard: str
     server: str
@@ -100,10 +100,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answers:
-    """Outcomes of a Search, as they come; several in one message when they can.
+    """Outcomes of a Search, sent as they arrive and batched where possible.
 
-    Where the greatest records are asked for, `records` holds those of all the
-    answers in this message, and the answers' own bodies are empty.
+    If the greatest records are asked for, `records` holds those of all answers in this
+    message, and the bodies of the answers are empty.
     """
 
     answers: tuple[ShardAnswer, ...]
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """A request that is not idempotent: the receiver sends it on at most once."""
+    """A request that is not idempotent; the receiver forwards it at most once."""
 
     request_id: str
     service: str
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ran:
-    """What became of a Run."""
+    """The outcome of a Run."""
 
     server: str
     outcome: Outcome
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Document:
-    """A document as the sender has it; version 0 when it has none new enough."""
+    """The sender's copy of a document; version 0 if it has none that is new enough."""
 
     name: str
     version: int
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TicketAsk:
-    """An order or a question about one ticket; `verb` names which."""
+    """A request about one ticket; `verb` names its kind, see `protocol.tickets`."""
 
     verb: str
     ticket: str
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TicketReply:
-    """The verdict on a TicketAsk, with the outcome where one is known."""
+    """The reply to a TicketAsk, with the outcome if one is known."""
 
     verdict: str
     outcome: Outcome | None = None
@@ -174,13 +174,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedNews:
-    """What the store has just told the sender of a feed; wants no reply.
+    """Changes of a feed that the sender has just read from the store; no reply.
 
-    `changes` are all between the revisions `base` and `revision`. Without any, it
-    still says that the store had nothing newer a moment ago. `fingerprint` is that of
-    the sender's copy with them: a receiver whose own is the same lacks nothing,
-    whatever revisions the two have read it at. With `passes_on` the receiver tells the
-    other hosts of its data centre the same.
+    `changes` are all changes between the revisions `base` and `revision`. If it is
+    empty, the message confirms that the store had nothing newer a moment ago.
+    `fingerprint` is that of the sender's copy after the changes; a receiver with the
+    same fingerprint is up to date, whatever revisions the two copies have. With
+    `passes_on` the receiver relays the message to the other hosts of its data centre.
     """
 
     feed: str
@@ -193,9 +193,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedFetch:
-    """Asks for a feed as the receiver has it.
+    """Asks for the receiver's copy of a feed.
 
-    With `hashes`, those of the sender's buckets, only for the buckets that differ.
+    With `hashes`, the hashes of the sender's buckets, only differing buckets are sent.
     """
 
     feed: str
@@ -204,9 +204,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedState:
-    """All entries of a feed at a revision; 0 when the sender has none.
+    """All entries of a feed at a revision; revision 0 if the sender has no copy.
 
-    With `buckets` all entries of these, the others being as the receiver has them.
+    With `buckets` only the entries of these buckets; the others do not differ.
     """
 
     feed: str
@@ -217,10 +217,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Struck:
-    """A strike that the sender saw, ahead of the store's news; wants no reply.
+    """A strike that the sender observed; no reply.
 
-    Its caller's repeat is at another host some milliseconds later. With `passes_on` the
-    receiver tells the other hosts of its data centre the same.
+    Sent directly, since the caller's retry may reach another host milliseconds later,
+    before the store has distributed the strike. With `passes_on` the receiver relays
+    the message to the other hosts of its data centre.
     """
 
     strike: Strike
@@ -250,7 +251,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Frame:
-    """A message with the id that ties replies to their request."""
+    """A message with an id, by which replies are matched to their request."""
 
     id: int
     message: Message
--- a/src/lavendergap/protocol/packing.py
+++ b/src/lavendergap/protocol/packing.py
@@ -1,7 +1,7 @@
-"""A second codec, for messages that go often or are long: msgpack.
+"""The msgpack codec, for messages that are frequent or long.
 
-Cap'n Proto spends about ten times as long on them in Python (see
-docs/design/connections.md); all other messages between hosts stay with it.
+Cap'n Proto takes many times as long for these in Python (see
+docs/design/connections.md); it encodes all other messages between hosts.
 """
 
 import zlib
@@ -95,7 +95,7 @@
     changes: list[tuple[str, bytes | None]]
     fingerprint: int
     passes_on: bool
-    # All changes, compressed; then `changes` is empty.
+    # All changes, compressed; `changes` is then empty.
     deflated: bytes = b""
 
 
@@ -110,7 +110,7 @@
     feed: str
     revision: int
     entries: list[tuple[str, bytes]]
-    # All entries, compressed; then `entries` is empty.
+    # All entries, compressed; `entries` is then empty.
     deflated: bytes = b""
     buckets: tuple[int, ...] | None = None
 
@@ -138,22 +138,21 @@
 _decode_changes = msgspec.msgpack.Decoder(list[tuple[str, bytes | None]]).decode
 _decode_entries = msgspec.msgpack.Decoder(list[tuple[str, bytes]]).decode
 
-DEFLATE_FROM = 1_024
-"""Bytes of entries from which they are compressed.
+MIN_DEFLATED_BYTES = 1_024
+"""The total size from which entries are compressed.
 
-An operator's document shrinks to an eighth or less within two milliseconds; what a
-server says of itself, 200 bytes, hardly does.
+Operators' documents compress well; a single server's entry of 200 bytes hardly does.
 """
 
-DEFLATED_KEPT = 4
-"""Compressed entries that are kept, as the same go to all hosts of a data centre."""
+MAX_CACHED_DEFLATED = 4
+"""Size of the cache of compressed entries, which are sent to many hosts alike."""
 
 MAX_INFLATED_BYTES = 4_000_000
-"""What compressed entries may come to, the length of the longest frame."""
+"""Limit on decompressed entries, about the longest frame, to bound memory use."""
 
 
 def pack_search(frame_id: int, search: Search) -> bytes:
-    """Return the bytes of a Search, without its length."""
+    """Return the bytes of a Search, without the length prefix."""
     return _encode(
         _PackedSearch(
             frame_id,
@@ -169,7 +168,7 @@
 
 
 def pack_answers(frame_id: int, answers: Answers) -> bytes:
-    """Return the bytes of Answers, without their length."""
+    """Return the bytes of Answers, without the length prefix."""
     packed = [
         _PackedAnswer(a.shard, a.server, _pack_outcome(a.outcome), a.versions)
         for a in answers.answers
@@ -215,7 +214,7 @@
 
 
 def pack_news(frame_id: int, news: FeedNews) -> bytes:
-    """Return the bytes of FeedNews, without their length."""
+    """Return the bytes of FeedNews, without the length prefix."""
     changes, deflated = _deflate(news.changes)
     return _encode(
         _PackedNews(
@@ -232,12 +231,12 @@
 
 
 def pack_fetch(frame_id: int, fetch: FeedFetch) -> bytes:
-    """Return the bytes of a FeedFetch, without their length."""
+    """Return the bytes of a FeedFetch, without the length prefix."""
     return _encode(_PackedFetch(frame_id, fetch.feed, fetch.hashes))
 
 
 def pack_state(frame_id: int, state: FeedState) -> bytes:
-    """Return the bytes of a FeedState, without their length."""
+    """Return the bytes of a FeedState, without the length prefix."""
     entries, deflated = _deflate(state.entries)
     return _encode(
         _PackedState(
@@ -249,22 +248,19 @@
 def _deflate(
     entries: tuple[FeedChange, ...] | tuple[FeedEntry, ...],
 ) -> tuple[list[Any], bytes]:
-    """Return entries as they go on the wire, and their bytes if these are compressed.
-
-    Of the two one is empty.
-    """
-    if sum(len(entry.body or b"") for entry in entries) < DEFLATE_FROM:
+    """Return the entries as a plain list and as compressed bytes, one of them empty."""
+    if sum(len(entry.body or b"") for entry in entries) < MIN_DEFLATED_BYTES:
         return [(entry.name, entry.body) for entry in entries], b""
     return [], _compress(entries)
 
 
-@lru_cache(maxsize=DEFLATED_KEPT)
+@lru_cache(maxsize=MAX_CACHED_DEFLATED)
 def _compress(entries: tuple[FeedChange, ...] | tuple[FeedEntry, ...]) -> bytes:
     return zlib.compress(_encode([(entry.name, entry.body) for entry in entries]), 1)
 
 
 def pack_struck(frame_id: int, struck: Struck) -> bytes:
-    """Return the bytes of a Struck, without their length."""
+    """Return the bytes of a Struck, without the length prefix."""
     strike = struck.strike
     return _encode(
         _PackedStruck(
@@ -305,11 +301,11 @@
 
 
 def _inflate(deflated: bytes) -> bytes:
-    """Return the plain bytes; raises zlib.error where there are too many of them."""
+    """Return the decompressed bytes; raises zlib.error if there are too many."""
     inflater = zlib.decompressobj()
     plain = inflater.decompress(deflated, MAX_INFLATED_BYTES)
     if not inflater.eof:
-        raise zlib.error("entries cut short or too long")
+        raise zlib.error("compressed entries are truncated or too large")
     return plain
 
 
--- a/src/lavendergap/protocol/peer.capnp
+++ b/src/lavendergap/protocol/peer.capnp
@@ -1,7 +1,7 @@
 @0xb3c1f0a94d27e615;
-# Frames between entry processes on their TCP channels, but for the two that go with
-# every query (protocol/packing.py). protocol/peer.py is the only reader and writer.
-# Fields are only ever added at the end.
+# Frames on the TCP channels between hosts, except for the messages that
+# protocol/packing.py encodes. protocol/peer.py is the only reader and writer.
+# New fields are only added at the end.
 
 struct Outcome {
   kind @0 :UInt8;          # 0 answered, 1 not run, 2 unknown, 3 none
@@ -13,7 +13,7 @@
 }
 
 struct Frame {
-  id @0 :UInt64;           # a request's id, repeated by its replies
+  id @0 :UInt64;           # id of the request, repeated by its replies
   union {
     hello :group {
       format @1 :UInt16;
@@ -30,7 +30,7 @@
       requestId @8 :Text;
       service @9 :Text;
       group @10 :Text;
-      leftMs @11 :UInt32;  # until the deadline, since clocks differ
+      leftMs @11 :UInt32;  # time to the deadline; relative, since clocks differ
       body @12 :Data;
     }
     ran :group {
@@ -47,7 +47,7 @@
       body @19 :Data;
     }
     goingAway @20 :Void;
-    ticket :group {         # a question or an order about one ticket
+    ticket :group {         # a request about one ticket
       verb @21 :Text;
       ticket @22 :Text;
       body @23 :Data;
--- a/src/lavendergap/protocol/peer.py
+++ b/src/lavendergap/protocol/peer.py
@@ -1,8 +1,8 @@
-"""Frames on the channels between entry processes: bytes in, typed messages out.
+"""The codec of the frames on the channels between hosts.
 
-A frame is four bytes of length, then one encoded message; the length's highest bit
-says which of the two codecs. Decoding never raises anything but `BadFrameError`,
-whatever bytes come in.
+A frame is a length of four bytes and one encoded message. The highest bit of the
+length is set for msgpack and clear for Cap'n Proto. Decoding raises only
+`BadFrameError`, whatever the bytes.
 """
 
 import struct
@@ -47,7 +47,7 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 LENGTH = struct.Struct(">I")
-PACKED = 1 << 31
+PACKED_BIT = 1 << 31
 
 capnp.remove_import_hook()
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
@@ -56,7 +56,7 @@
 _ANSWERED, _NOT_RUN, _UNKNOWN, _NO_OUTCOME = range(4)
 
 
-def _fill_outcome(target: Any, outcome: Outcome | None) -> None:
+def _write_outcome(target: Any, outcome: Outcome | None) -> None:
     match outcome:
         case None:
             target.kind = _NO_OUTCOME
@@ -93,17 +93,17 @@
         )
     if kind == _UNKNOWN:
         return Unknown(step=step, peer=source.peer, reason=reason)
-    raise BadFrameError(problem=f"outcome of kind {kind}")
+    raise BadFrameError(problem=f"unknown kind of outcome: {kind}")
 
 
-def _need_outcome(source: Any) -> Outcome:
+def _require_outcome(source: Any) -> Outcome:
     outcome = _read_outcome(source)
     if outcome is None:
-        raise BadFrameError(problem="an outcome is missing")
+        raise BadFrameError(problem="the message lacks its outcome")
     return outcome
 
 
-def _fill(frame: Any, message: Message) -> None:
+def _write_message(frame: Any, message: Message) -> None:
     match message:
         case Hello():
             hello = frame.init("hello")
@@ -129,7 +129,7 @@
         case Ran():
             ran = frame.init("ran")
             ran.server = message.server
-            _fill_outcome(ran.init("outcome"), message.outcome)
+            _write_outcome(ran.init("outcome"), message.outcome)
         case Fetch():
             fetch = frame.init("fetch")
             fetch.name = message.name
@@ -145,11 +145,11 @@
             ask.ticket = message.ticket
             ask.body = message.body
             ask.leftMs = message.left_ms
-            _fill_outcome(ask.init("outcome"), message.outcome)
+            _write_outcome(ask.init("outcome"), message.outcome)
         case TicketReply():
             reply = frame.init("ticketReply")
             reply.verdict = message.verdict
-            _fill_outcome(reply.init("outcome"), message.outcome)
+            _write_outcome(reply.init("outcome"), message.outcome)
 
 
 _READERS: dict[str, Callable[[Any], Message]] = {
@@ -170,7 +170,7 @@
         left_ms=f.leftMs,
         body=bytes(f.body),
     ),
-    "ran": lambda f: Ran(server=f.server, outcome=_need_outcome(f.outcome)),
+    "ran": lambda f: Ran(server=f.server, outcome=_require_outcome(f.outcome)),
     "fetch": lambda f: Fetch(name=f.name, at_least=f.atLeast),
     "document": lambda f: Document(name=f.name, version=f.version, body=bytes(f.body)),
     "ticket": lambda f: TicketAsk(
@@ -187,19 +187,19 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame, its length in front."""
+    """Return the bytes of a frame, with the length prefix."""
     packed = _pack(frame)
     if packed is not None:
-        return LENGTH.pack(len(packed) | PACKED) + packed
+        return LENGTH.pack(len(packed) | PACKED_BIT) + packed
     target = _Frame.new_message()
     target.id = frame.id
-    _fill(target, frame.message)
+    _write_message(target, frame.message)
     plain: bytes = target.to_bytes()
     return LENGTH.pack(len(plain)) + plain
 
 
 def _pack(frame: Frame) -> bytes | None:
-    """Return the message by the second codec, or None where the first one serves."""
+    """Return the message encoded by msgpack, or None if Cap'n Proto encodes it."""
     match frame.message:
         case Search() as search:
             return pack_search(frame.id, search)
@@ -217,13 +217,13 @@
 
 
 def read_length(head: bytes | bytearray, start: int) -> tuple[int, bool]:
-    """Return a frame's length at `start`, and whether its message is packed."""
+    """Return the length prefix at `start`, and whether the message is msgpack."""
     (word,) = LENGTH.unpack_from(head, start)
-    return word & ~PACKED, bool(word & PACKED)
+    return word & ~PACKED_BIT, bool(word & PACKED_BIT)
 
 
 def decode_frame(body: bytes, *, is_packed: bool = False) -> Frame:
-    """Return the frame in `body` (its length left off), or raise `BadFrameError`."""
+    """Return the frame in `body`, without length prefix, or raise `BadFrameError`."""
     if is_packed:
         return unpack(body)
     try:
@@ -233,6 +233,6 @@
     except BadFrameError:
         raise
     except Exception as error:
-        # The library raises its own kinds for broken pointers, and ValueError
-        # for text or enums that are not ours; to a reader they are one thing.
+        # Cap'n Proto raises exceptions of several types for broken pointers, and
+        # invalid text or enum values raise ValueError.
         raise BadFrameError(problem=f"{type(error).__name__}: {error}") from error
