--- a/src/lavendergap/protocol/objects.py
+++ b/src/lavendergap/protocol/objects.py
@@ -1,7 +1,7 @@
-"""The objects that the platform keeps for us, as data classes and as JSON.
+"""The objects stored on the platform, as data classes and as JSON.
 
 settings/DEPLOYMENT   a `SettingsObject`: the operators' text and its last edits
-index/SERVICE         the published snapshots of a service, by the indexer
+index/SERVICE         the snapshots of a service, published by the indexer
 """
 
 import math
@@ -19,22 +19,21 @@
 from .resolved import decode_settings, encode_settings
 
 MAX_EDITS = 50
-"""Edits that an object remembers; enough for an operator to find his own again."""
+"""Edits kept in an object; enough for operators to find their last ones."""
 
 MAX_OBJECT_BYTES = 1_000_000
-"""The platform refuses larger values."""
+"""The platform rejects larger values."""
 
-_SHARE_ERROR = 1e-6
+_SHARE_TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Edit:
     """One accepted edit of the settings.
 
-    `id` tells an operator whose reply was lost whether the edit took effect. `base`
-    is the version that the edit was made from, so that `base` and the versions after
-    it part the edits that an operator has seen from those that came since. `at` is
-    the command's clock in RFC 3339, for people only.
+    With `id` an operator whose reply was lost can check whether the edit took effect.
+    `base` is the version that was edited: edits after it are those that the author had
+    not seen. `at` is the time in RFC 3339 by the command's clock, for display only.
     """
 
     id: str
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ResolvedText:
-    """The resolved form of a text, and the digest that says of which one."""
+    """The resolved form of a text, and the digest of that text."""
 
     digest: str
     data: bytes
@@ -57,8 +56,8 @@
 class SettingsObject:
     """The value of `settings/DEPLOYMENT`; `edits` is newest last.
 
-    `resolved` is what the command that wrote `text` resolved it to, so that hosts
-    need not check it again; see `read_settings`.
+    `resolved` is the resolved form of `text`, stored by the command that wrote it, so
+    that hosts need not validate the text again; see `read_settings`.
     """
 
     text: str
@@ -68,12 +67,12 @@
     def add_edit(
         self, edit: Edit, *, text: str, resolved: ResolvedText | None = None
     ) -> "SettingsObject":
-        """Return the object with `text` in place and `edit` remembered."""
+        """Return a copy with the new `text` and with `edit` appended."""
         edits = (*self.edits, edit)[-MAX_EDITS:]
         return SettingsObject(text=text, edits=edits, resolved=resolved)
 
     def find_edit(self, id: str) -> Edit | None:
-        """Return the remembered edit with that id, or None."""
+        """Return the edit with that id if it is still kept, or None."""
         return next((edit for edit in self.edits if edit.id == id), None)
 
 
@@ -102,24 +101,23 @@
 
 
 def resolve_text(text: str, settings: Settings) -> ResolvedText:
-    """Return the resolved form of `text`, which states `settings`."""
+    """Return the resolved form of `text`, which was parsed to `settings`."""
     return ResolvedText(digest=_digest(text), data=encode_settings(settings))
 
 
 def read_settings(value: SettingsObject, *, key: str, version: int) -> Settings:
     """Return the settings in the object `key` at `version`.
 
-    The resolved form is taken where it belongs to the text and this release knows
-    it; reading it takes a host milliseconds. Otherwise the text is checked in full,
-    which takes 0.2 s for thousands of backend servers. Raises SettingsError where
-    the text has problems.
+    The resolved form is used if it belongs to the text and this release can read it;
+    that takes milliseconds. Otherwise the text is parsed and validated, which is much
+    slower. Raises SettingsError if the text has problems.
     """
     resolved = value.resolved
     if resolved is not None and resolved.digest == _digest(value.text):
         try:
             settings = decode_settings(resolved.data)
         except ObjectError:
-            # Of another release, or garbled; the text tells the same.
+            # Written by another release, or malformed: fall back to the text.
             return parse_settings(value.text, file=key, version=version)
         return replace(settings, version=version)
     return parse_settings(value.text, file=key, version=version)
@@ -132,13 +130,15 @@
 def encode_settings_object(value: SettingsObject) -> bytes:
     """Return the JSON of `value`, without its resolved form if that does not fit.
 
-    Raises ObjectError where it is larger than the platform takes even so.
+    Raises ObjectError if it exceeds the platform's limit even so.
     """
     data = _ENCODER.encode(value)
     if len(data) > MAX_OBJECT_BYTES and value.resolved is not None:
         data = _ENCODER.encode(replace(value, resolved=None))
     if len(data) > MAX_OBJECT_BYTES:
-        problem = f"{len(data)} bytes with its edits; at most {MAX_OBJECT_BYTES} fit"
+        problem = (
+            f"{len(data)} bytes including edits; at most {MAX_OBJECT_BYTES} are allowed"
+        )
         raise ObjectError(key="settings", problem=problem)
     return data
 
@@ -146,7 +146,7 @@
 def decode_settings_object(data: bytes, *, key: str) -> SettingsObject:
     """Return the object in `data`; raises ObjectError naming `key`.
 
-    The text inside is not checked here; `read_settings` does so.
+    The text inside is not validated here; `read_settings` does that.
     """
     try:
         return _SETTINGS_DECODER.decode(data)
@@ -157,8 +157,8 @@
 def decode_index_object(data: bytes, *, service: str, version: int) -> Published:
     """Return the snapshots in `data`, the object's value at `version`.
 
-    Raises ObjectError where it is garbled or where a snapshot's partition map cannot
-    be one: an answer computed from it would state a false coverage.
+    Raises ObjectError if it is malformed or if a partition map is inconsistent, since
+    answers based on it would report a wrong coverage.
     """
     key = make_index_key(service)
     try:
@@ -175,7 +175,7 @@
 
 
 def encode_index_object(published: Published) -> bytes:
-    """Return the JSON of the snapshots, as the indexer writes it."""
+    """Return the JSON of the snapshots in the indexer's format."""
     snapshots = tuple(
         _Snapshot(version=snapshot.version, shards=snapshot.shards)
         for snapshot in published.snapshots
@@ -184,9 +184,10 @@
 
 
 def make_first_index(service: Service) -> Published:
-    """Return what holds until an indexer has published: a shard for each group.
+    """Return the index used until an indexer has published one.
 
-    It is version 1 of the index, with equal shares, at version 0 of the object.
+    It has a shard for each group, with equal shares. It is version 1 of the index, at
+    version 0 of the object.
     """
     share = 1.0 / len(service.groups)
     shards = tuple(
@@ -202,7 +203,7 @@
         yield "expected at least one snapshot"
     versions = [snapshot.version for snapshot in index.snapshots]
     if versions != sorted(set(versions)) or min(versions, default=1) < 1:
-        yield f"expected versions from 1 that grow, found {versions}"
+        yield f"expected ascending versions of at least 1, found {versions}"
     for snapshot in index.snapshots:
         names = {shard.name for shard in snapshot.shards}
         if len(names) != len(snapshot.shards):
@@ -212,5 +213,5 @@
         if not all(0.0 < shard.share <= 1.0 for shard in snapshot.shards):
             yield f"version {snapshot.version}: expected shares above 0 and up to 1"
         share = math.fsum(shard.share for shard in snapshot.shards)
-        if abs(share - 1.0) > _SHARE_ERROR:
+        if abs(share - 1.0) > _SHARE_TOLERANCE:
             yield f"version {snapshot.version}: expected shares that add up to 1"
--- a/src/lavendergap/protocol/resolved.py
+++ b/src/lavendergap/protocol/resolved.py
@@ -1,8 +1,8 @@
-"""Settings as hosts hand them to each other: checked, resolved and compressed.
+"""The codec of resolved settings, in which hosts send them to each other.
 
-An operator's text is checked once, by the command that applies it and by the hosts
-that watch the platform. The others take this form, whose reading costs a small part
-of a check; docs/design/settings.md has the figures.
+Operators' text is validated by the command that applies it and by the hosts that
+watch the platform. The others receive this compressed form, which is much cheaper to
+read; see docs/design/settings.md.
 """
 
 import zlib
@@ -23,12 +23,12 @@
 )
 
 FORMAT = 1
-"""Grows when the form changes; a host refuses a form that it does not know."""
+"""Incremented when the format changes; hosts refuse unknown formats."""
 
 MAX_PLAIN_BYTES = 8_000_000
-"""Bounds what a hostile or garbled frame can make a host unpack."""
+"""Limits the memory that a hostile or malformed frame can use up."""
 
-_COMPRESSION = 1
+_COMPRESSION_LEVEL = 1
 
 
 class _GiveUp(msgspec.Struct, frozen=True, tag="give up", tag_field="kind"):
@@ -41,7 +41,7 @@
 
 
 class _Service(msgspec.Struct, frozen=True):
-    """A service whose policy is tagged: msgspec decodes no union of data classes."""
+    """A service with a tagged policy; msgspec can't decode unions of data classes."""
 
     name: str
     idempotent: bool
@@ -71,7 +71,7 @@
 
 
 def encode_settings(settings: Settings) -> bytes:
-    """Return `settings`, its version included, as bytes for `decode_settings`."""
+    """Return `settings`, including the version, as bytes for `decode_settings`."""
     message = _Settings(
         format=FORMAT,
         deployment=settings.deployment,
@@ -81,17 +81,17 @@
         services=tuple(_pack_service(service) for service in settings.services),
         control=settings.control,
     )
-    return zlib.compress(_ENCODER.encode(message), _COMPRESSION)
+    return zlib.compress(_ENCODER.encode(message), _COMPRESSION_LEVEL)
 
 
 def decode_settings(data: bytes) -> Settings:
     """Return the settings in `data`.
 
-    Raises ObjectError where it is cut short, garbled, too large once unpacked, or of
-    another format.
+    Raises ObjectError if `data` is truncated, malformed, too large when decompressed,
+    or of another format.
     """
     try:
-        message = _DECODER.decode(_unpack(data))
+        message = _DECODER.decode(_decompress(data))
     except (zlib.error, msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ObjectError(key="resolved settings", problem=str(error)) from None
     if message.format != FORMAT:
@@ -107,11 +107,11 @@
     )
 
 
-def _unpack(data: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
-    plain = unpacker.decompress(data, MAX_PLAIN_BYTES)
-    if unpacker.unconsumed_tail or unpacker.unused_data or not unpacker.eof:
-        raise zlib.error("cut short, too large or followed by other bytes")
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
+    plain = decompressor.decompress(data, MAX_PLAIN_BYTES)
+    if decompressor.unconsumed_tail or decompressor.unused_data or not decompressor.eof:
+        raise zlib.error("truncated, too large or followed by extra bytes")
     return plain
 
 
--- a/src/lavendergap/protocol/tickets.py
+++ b/src/lavendergap/protocol/tickets.py
@@ -1,7 +1,7 @@
-"""Orders and questions about tickets, as messages on the channel between hosts.
+"""The codec of requests and replies about tickets, as messages between hosts.
 
-`TicketAsk.verb` and `TicketReply.verdict` name the data class; what it holds goes
-into the message's other fields.
+`TicketAsk.verb` and `TicketReply.verdict` name the data class, whose contents are in
+the other fields of the message.
 """
 
 import re
@@ -39,7 +39,7 @@
 
 RUN = "run"
 ASK = "ask"
-# Asks for any reply: it proves that the channel still carries bytes both ways.
+# Requires any reply, to check that the channel works in both directions.
 PING = "ping"
 OPEN = "open issuer"
 STARTED = "record started"
@@ -59,9 +59,11 @@
     """Return the message for a request to a witness."""
     match request:
         case OpenIssuer(issuer=issuer, witness=witness, secret=secret):
-            return TicketAsk(verb=OPEN, ticket=_join(issuer, witness), body=secret)
+            return TicketAsk(
+                verb=OPEN, ticket=_join_peers(issuer, witness), body=secret
+            )
         case CloseIssuer(issuer=issuer, witness=witness):
-            return TicketAsk(verb=CLOSE, ticket=_join(issuer, witness))
+            return TicketAsk(verb=CLOSE, ticket=_join_peers(issuer, witness))
         case RecordStarted(ticket=ticket):
             return TicketAsk(verb=STARTED, ticket=str(ticket))
         case RecordEnded(ticket=ticket, outcome=outcome):
@@ -74,12 +76,12 @@
     """Return the request to a witness in `ask`, or raise `BadFrameError`."""
     match ask:
         case TicketAsk(verb="open issuer"):
-            issuer, witness = _split(ask.ticket)
+            issuer, witness = _split_peers(ask.ticket)
             return OpenIssuer(
                 issuer=issuer, witness=witness, secret=_read_secret(ask.body)
             )
         case TicketAsk(verb="close issuer"):
-            issuer, witness = _split(ask.ticket)
+            issuer, witness = _split_peers(ask.ticket)
             return CloseIssuer(issuer=issuer, witness=witness)
         case TicketAsk(verb="record started"):
             return RecordStarted(ticket=read_ticket(ask))
@@ -88,7 +90,9 @@
         case TicketAsk(verb="void"):
             return VoidTicket(ticket=read_ticket(ask))
         case _:
-            raise BadFrameError(problem=f"verb {ask.verb!r}")
+            raise BadFrameError(
+                problem=f"unknown verb or missing outcome: {ask.verb!r}"
+            )
 
 
 def read_ticket(ask: TicketAsk) -> Ticket:
@@ -99,15 +103,15 @@
     return ticket
 
 
-def _join(issuer: Peer, witness: Peer) -> str:
+def _join_peers(issuer: Peer, witness: Peer) -> str:
     fields = (issuer.host, issuer.incarnation, witness.host, witness.incarnation)
     return PEER_SEPARATOR.join(str(field) for field in fields)
 
 
-def _split(text: str) -> tuple[Peer, Peer]:
+def _split_peers(text: str) -> tuple[Peer, Peer]:
     match text.split(PEER_SEPARATOR):
-        case [issuer, at, witness, witness_at]:
-            return _read_peer(issuer, at), _read_peer(witness, witness_at)
+        case [issuer, issuer_inc, witness, witness_inc]:
+            return _read_peer(issuer, issuer_inc), _read_peer(witness, witness_inc)
         case _:
             raise BadFrameError(problem="malformed issuer or witness")
 
@@ -119,14 +123,16 @@
 
 
 def _read_secret(secret: bytes) -> bytes:
-    # A key that the hash refuses would raise at the issuer's first ticket, in the
-    # middle of the witness, and end its process with the records of all others.
+    # With a key of another length, the hash would raise at the issuer's first ticket
+    # and end the witness's process, with the records of all other issuers.
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
-        raise BadFrameError(problem=f"a secret of {len(secret)} bytes")
+        raise BadFrameError(
+            problem=f"the secret has {len(secret)} bytes; expected 16 to 64"
+        )
     return secret
 
 
-_PLAIN: dict[str, Reply] = {
+_REPLIES_BY_VERDICT: dict[str, Reply] = {
     "ack": Ack(),
     "void": Void(),
     "voided": Voided(),
@@ -135,7 +141,9 @@
     "running": AlreadyRunning(),
     "not begun": NotBegun(),
 }
-_VERDICTS = {type(reply): verdict for verdict, reply in _PLAIN.items()}
+_VERDICTS_BY_TYPE = {
+    type(reply): verdict for verdict, reply in _REPLIES_BY_VERDICT.items()
+}
 _STARTED = "started"
 _KNOWN = "known"
 _REFUSED = "refused: "
@@ -151,7 +159,7 @@
         case Refused(reason=reason):
             return TicketReply(verdict=_REFUSED + reason.value)
         case _:
-            return TicketReply(verdict=_VERDICTS[type(reply)])
+            return TicketReply(verdict=_VERDICTS_BY_TYPE[type(reply)])
 
 
 def decode_reply(reply: TicketReply) -> Reply:
@@ -159,20 +167,20 @@
     if reply.verdict == _STARTED:
         return Started(outcome=reply.outcome)
     if reply.verdict == _KNOWN:
-        return Known(outcome=_need(reply.outcome))
+        return Known(outcome=_require_outcome(reply.outcome))
     if reply.verdict.startswith(_REFUSED):
         try:
             problem = TicketProblem(reply.verdict.removeprefix(_REFUSED))
         except ValueError as error:
-            raise BadFrameError(problem="unknown ticket problem") from error
+            raise BadFrameError(problem="unknown reason of a refused ticket") from error
         return Refused(reason=problem)
-    plain = _PLAIN.get(reply.verdict)
-    if plain is None:
-        raise BadFrameError(problem=f"verdict {reply.verdict!r}")
-    return plain
+    known_reply = _REPLIES_BY_VERDICT.get(reply.verdict)
+    if known_reply is None:
+        raise BadFrameError(problem=f"unknown verdict: {reply.verdict!r}")
+    return known_reply
 
 
-def _need(outcome: Outcome | None) -> Outcome:
+def _require_outcome(outcome: Outcome | None) -> Outcome:
     if outcome is None:
-        raise BadFrameError(problem="an outcome is missing")
+        raise BadFrameError(problem="the message lacks its outcome")
     return outcome
--- a/src/lavendergap/state/ticket.py
+++ b/src/lavendergap/state/ticket.py
@@ -146,11 +146,11 @@
 def _are_well_formed(fields: list[str]) -> bool:
     """Check all fields but the first. Each ticket has exactly one valid text."""
     match fields:
-        case [_, service, issuer, incarnation, serial, witness, at, mac]:
+        case [_, service, issuer, issuer_inc, serial, witness, witness_inc, mac]:
             names = [service, issuer]
-            if (witness, at) != ("", "0"):
+            if (witness, witness_inc) != ("", "0"):
                 names.append(witness)
-            numbers = (incarnation, serial, at)
+            numbers = (issuer_inc, serial, witness_inc)
             return (
                 all(is_ticket_name(name) for name in names)
                 and all(_NUMBER.fullmatch(number) for number in numbers)
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -57,7 +57,7 @@
         assert value.find_edit("id-5") == make_edit(5)
 
     def test_a_value_over_the_limit_is_not_sent(self):
-        with pytest.raises(ObjectError, match="at most 1000000 fit"):
+        with pytest.raises(ObjectError, match="at most 1000000 are allowed"):
             encode_settings_object(SettingsObject(text='"' * 500_000))
 
     @pytest.mark.parametrize(
@@ -126,8 +126,8 @@
         ("snapshots", "words"),
         [
             ([], "at least one snapshot"),
-            ([make_index(("a", 1.0), version=0)], "versions from 1 that grow"),
-            ([make_index(("a", 1.0))] * 2, "versions from 1 that grow"),
+            ([make_index(("a", 1.0), version=0)], "ascending versions of at least 1"),
+            ([make_index(("a", 1.0))] * 2, "ascending versions of at least 1"),
             ([make_index(("a", 0.5), ("a", 0.5))], "each shard once"),
             ([make_index(("a b", 1.0))], "letters and digits"),
             ([make_index(("a", 0.5), ("b", 0.4))], "add up to 1"),
