--- a/src/lavendergap/protocol/forwarding.py
+++ b/src/lavendergap/protocol/forwarding.py
@@ -31,7 +31,7 @@
         b"upgrade",
     }
 )
-MAX_RETRY_AFTER_MS = 10_000
+LONGEST_RETRY_AFTER_MS = 10_000
 # Above the number of requests that a host usually runs at once.
 MAX_CACHED_HEADS = 256
 MISDIRECTED_REQUEST_STATUS = 421
@@ -204,7 +204,7 @@
         return 0
     if not math.isfinite(seconds) or seconds < 0:
         return 0
-    return min(MAX_RETRY_AFTER_MS, int(seconds * 1_000))
+    return min(LONGEST_RETRY_AFTER_MS, int(seconds * 1_000))
 
 
 def read_load(text: bytes | None) -> ServerReport | None:
--- a/src/lavendergap/protocol/leaf.py
+++ b/src/lavendergap/protocol/leaf.py
@@ -14,7 +14,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 DEFAULT_RETRY_AFTER_MS = 1_000
-MAX_RETRY_AFTER_MS = 3_600_000
+LONGEST_RETRY_AFTER_MS = 3_600_000
 # The largest version that fits into the messages between peers.
 MAX_VERSION = 2**63 - 1
 SERVER_STATES: dict[bytes, ServerState] = {
@@ -113,7 +113,7 @@
         return DEFAULT_RETRY_AFTER_MS
     # "inf", or a number too large for a message to a peer, would raise an error that
     # ends the process.
-    if not 0 <= after <= MAX_RETRY_AFTER_MS:
+    if not 0 <= after <= LONGEST_RETRY_AFTER_MS:
         return DEFAULT_RETRY_AFTER_MS
     return int(after)
 
--- a/src/lavendergap/state/options.py
+++ b/src/lavendergap/state/options.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Option:
-    """One option: its kind, its default and the levels at which it may stand.
+    """One option: its kind, its default and the levels that allow it.
 
     `levels` run from the highest to the lowest; branches of the lowest use the value.
     `default` is None if an operator has to set the option. `unit` is empty for
--- a/src/lavendergap/state/ticket.py
+++ b/src/lavendergap/state/ticket.py
@@ -109,7 +109,7 @@
 
 
 def verify_mac(ticket: Ticket, secret: bytes) -> bool:
-    """Tell whether the holder of `secret` issued this ticket, in constant time."""
+    """Return whether the MAC matches `secret`, compared in constant time."""
     return hmac.compare_digest(compute_mac(ticket, secret), ticket.mac)
 
 
--- a/tests/test_leaf.py
+++ b/tests/test_leaf.py
@@ -7,7 +7,7 @@
 from lavendergap.coordination.calls import Call
 from lavendergap.protocol.leaf import (
     DEFAULT_RETRY_AFTER_MS,
-    MAX_RETRY_AFTER_MS,
+    LONGEST_RETRY_AFTER_MS,
     MAX_VERSION,
     Reply,
     build_headers,
@@ -116,4 +116,4 @@
         for words in (outcome, b"not-run"):
             got = judge(503, {b"outcome": words, b"retry-after": retry_after})
             if isinstance(got, NotRun):
-                assert 0 <= got.retry_after_ms <= MAX_RETRY_AFTER_MS
+                assert 0 <= got.retry_after_ms <= LONGEST_RETRY_AFTER_MS
