--- a/src/lavendergap/state/outcome.py
+++ b/src/lavendergap/state/outcome.py
@@ -52,8 +52,8 @@
 class Answered:
     """A complete answer, with the `body` that the backend server sent.
 
-    `status` and `headers` are the server's if its answer is forwarded unchanged. They
-    are not used for an answer that is merged with others.
+    `status` and `headers` are the server's if its answer is forwarded unchanged. An
+    answer that is merged with others keeps at most its proof header.
     """
 
     body: bytes
--- a/src/lavendergap/state/routes.py
+++ b/src/lavendergap/state/routes.py
@@ -69,9 +69,9 @@
 class RouteTable:
     """All routes at one version of the operators' document.
 
-    By group, `connections` holds how many connections one server accepts from all
-    hosts together, and `cold_rates` how many requests per second one server tolerates
-    while it is cold. A group that is missing has no limit.
+    By group, `connections` holds how many connections one server accepts in total,
+    and `cold_rates` how many requests per second one server tolerates while it is
+    cold. A group that is missing has no limit.
     """
 
     version: int
