--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The worked examples: valid, at the sizes of today, and as they are written."""
+"""The example settings: valid, of the expected sizes, and equal to their generator."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from lavendergap.state.settings import GiveUpStragglers, WaitForCoverage
 from lavendergap.state.tree import load_settings
 
-LAST_FIXED_PORT = 32_767
+MAX_NON_EPHEMERAL_PORT = 32_767
 
 
 def load(name):
@@ -24,7 +24,7 @@
 
 
 def describe(service):
-    """Return groups, servers in all, slots, connections, and whether idempotent."""
+    """Return name, number of groups and servers, slots, connections, idempotence."""
     servers = [server for group in service.groups for server in group.servers]
     (slots,) = {server.slots for server in servers}
     (connections,) = {server.connections for server in servers}
@@ -34,27 +34,29 @@
 
 class TestExamples:
     @pytest.mark.parametrize("example", ALL, ids=lambda example: example.name)
-    def test_the_file_is_what_its_generator_writes(self, example):
+    def test_the_file_equals_its_generator_s_output(self, example):
         path = EXAMPLES / f"{example.name}.jsonc"
         assert path.read_text(encoding="utf-8") == write_example(example)
 
     @pytest.mark.parametrize("example", ALL, ids=lambda example: example.name)
-    def test_ports_stay_clear_of_those_that_the_system_hands_out(self, example):
+    def test_ports_are_below_the_ephemeral_range(self, example):
         ports = list_ports(load(example.name))
-        assert max(ports) <= LAST_FIXED_PORT
+        assert max(ports) <= MAX_NON_EPHEMERAL_PORT
 
     def test_replicas_of_a_group_are_in_different_data_centres(self):
         for example in ALL:
             for service in load(example.name).services:
                 for group in service.groups:
-                    places = {server.data_centre for server in group.servers}
+                    group_data_centres = {
+                        server.data_centre for server in group.servers
+                    }
                     wanted = min(len(example.data_centres), len(group.servers))
-                    assert len(places) == wanted
+                    assert len(group_data_centres) == wanted
 
-    def test_the_firms_can_run_beside_each_other(self):
+    def test_the_examples_share_no_ports(self):
         assert not list_ports(load("cedarlight")) & list_ports(load("qureshi"))
 
-    def test_cedarlight_has_its_sizes_of_today(self):
+    def test_cedarlight_has_its_current_sizes(self):
         settings = load("cedarlight")
         assert len(settings.hosts) == 7
         assert len({host.data_centre for host in settings.hosts}) == 4
@@ -67,7 +69,7 @@
         policies = {service.stragglers for service in settings.services}
         assert policies == {GiveUpStragglers(min_share=0.95, patience=2.0)}
 
-    def test_qureshi_has_its_sizes_of_today(self):
+    def test_qureshi_has_its_current_sizes(self):
         settings = load("qureshi")
         assert len(settings.hosts) == 6
         assert len({host.data_centre for host in settings.hosts}) == 3
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""`lavendergap explain`, as an engineer on call uses it on hosts' logs."""
+"""`lavendergap explain`, run on the logs of several hosts."""
 
 import json
 from typing import Any
@@ -53,7 +53,7 @@
 def logs(tmp_path):
     for name, lines in (("a-1", COORDINATOR), ("b-1", OWNER)):
         (tmp_path / f"{name}.log").write_text("\n".join([*lines, "Traceback"]))
-    # The owner's file first: its lines come long before the request's end.
+    # The owner's file comes first, so its lines precede the request's final line.
     return [str(tmp_path / "b-1.log"), str(tmp_path / "a-1.log")]
 
 
@@ -62,10 +62,10 @@
     return json.loads(capsys.readouterr().out)
 
 
-class TestStoryOfAContent:
-    def test_from_a_refusal_to_the_servers_that_ended(self, tmp_path, capsys):
-        # A caller is told "held back". Its `done` names the content, and the lines of
-        # that content what ended servers earlier, at which host, and who was told.
+class TestContent:
+    def test_a_held_back_request_is_traced_to_the_server_ends(self, tmp_path, capsys):
+        # The final line of a held-back request names its content. The lines of that
+        # content show on which hosts servers ended and which hosts were informed.
         held = {"outcome": "not run", "reason": "held back", "content": "c0"}
         lines = {
             "a-1": [
@@ -78,8 +78,8 @@
                 write_done("r2", at="2026-03-01T10:00:09.000Z", **held),
             ],
         }
-        for host, told in lines.items():
-            (tmp_path / f"{host}.log").write_text("\n".join(told))
+        for host, host_lines in lines.items():
+            (tmp_path / f"{host}.log").write_text("\n".join(host_lines))
         logs = [str(tmp_path / f"{host}.log") for host in lines]
         story = explain_json(logs, capsys, "--content", "c0")
         events = [(line["host"], line["event"], line["request_id"]) for line in story]
@@ -98,7 +98,7 @@
         assert ends == {"in time": 2, "late": 2, "refused": 1, "failed": 1}
         assert (route["left"], route["partial"], route["asked"]) == (1, 1, 7)
 
-    def test_a_cause_is_found_across_hosts(self, logs, capsys):
+    def test_causes_combine_lines_of_several_hosts(self, logs, capsys):
         causes = explain_json(logs, capsys)["routes"]["search"]["causes"]
         assert causes == {
             "late: owner lost": 1,
@@ -108,7 +108,7 @@
             "failed: lost connection in receive": 1,
         }
 
-    def test_the_worst_second_names_what_was_believed_then(self, logs, capsys):
+    def test_the_worst_second_lists_events_without_a_request(self, logs, capsys):
         seconds = explain_json(logs, capsys)["worst_seconds"]
         assert seconds == {
             "2026-03-01T10:00:00": {
@@ -118,14 +118,14 @@
             }
         }
 
-    def test_people_get_tables_and_are_told_of_bad_lines(self, logs, capsys):
+    def test_the_tables_are_followed_by_a_count_of_bad_lines(self, logs, capsys):
         assert run(["explain", *logs]) == 0
         shown = capsys.readouterr()
         assert "waited for a slot" in shown.out
         assert "2 lines were no log lines" in shown.err
 
 
-class TestStory:
+class TestRequest:
     def test_a_request_s_lines_come_from_all_hosts_in_order(self, logs, capsys):
         story = explain_json(logs, capsys, "--request", "partial")
         assert [(line["host"], line["event"]) for line in story] == [
@@ -134,17 +134,17 @@
             ("a-1", "done"),
         ]
 
-    def test_an_unknown_request_is_said_so(self, logs, capsys):
+    def test_an_unknown_request_is_an_error(self, logs, capsys):
         assert run(["explain", *logs, "--request", "nobody's"]) == 1
         assert "no line tells of" in capsys.readouterr().err
 
 
 class TestMistakes:
-    def test_without_logs_it_says_what_it_wants(self, capsys):
+    def test_missing_arguments_are_a_usage_error(self, capsys):
         assert run(["explain"]) == 2
         assert "name the hosts' log files" in capsys.readouterr().err
 
-    def test_a_file_that_is_no_log_is_said_so(self, tmp_path, capsys):
+    def test_a_file_without_log_lines_is_an_error(self, tmp_path, capsys):
         path = tmp_path / "notes.txt"
         path.write_text("nothing\n{]\n")
         assert run(["explain", str(path)]) == 1
@@ -156,13 +156,13 @@
 
 
 class TestLines:
-    def test_a_collector_s_words_before_the_line_name_its_host(self):
+    def test_the_host_is_taken_from_the_collector_s_prefix(self):
         line = read_line("  -1.25 lhr-a-7 " + write("started"), host="x")
         assert line is not None
         assert line.host == "lhr-a-7"
 
     @given(st.text() | st.binary().map(lambda b: b.decode("utf-8", "replace")))
-    def test_any_text_is_a_line_or_none(self, text):
+    def test_arbitrary_text_never_raises(self, text):
         line = read_line(text, host="x")
         assert line is None or line.host
 
@@ -172,12 +172,12 @@
             st.none() | st.text() | st.integers() | st.floats() | st.lists(st.text()),
         )
     )
-    def test_any_fields_are_counted_or_left(self, fields):
+    def test_arbitrary_fields_never_raise(self, fields):
         line = read_line(json.dumps(fields), host="x")
         if line is not None:
             Account().note(line)
 
-    def test_requests_that_never_end_are_forgotten(self):
+    def test_the_number_of_unfinished_requests_is_limited(self):
         account = Account()
         for number in range(MAX_OPEN_REQUESTS + 10):
             account.note(
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The datagrams of the membership: the codec and the UDP service."""
+"""The gossip protocol: the codec of its datagrams and the UDP service."""
 
 import logging
 from functools import partial
@@ -57,8 +57,8 @@
 STEADY = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def spell(ip: object) -> str:
-    """Return an address as the system spells it: two spellings are two strings."""
+def normalize_ip(ip: object) -> str:
+    """Return an address in the system's spelling, since addresses compare as text."""
     family = AF_INET6 if ":" in str(ip) else AF_INET
     return inet_ntop(family, inet_pton(family, str(ip)))
 
@@ -73,7 +73,7 @@
     data_centre=names,
     peers=st.builds(
         Address,
-        ip=st.one_of(st.ip_addresses(v=4), st.ip_addresses(v=6)).map(spell),
+        ip=st.one_of(st.ip_addresses(v=4), st.ip_addresses(v=6)).map(normalize_ip),
         port=st.integers(1, 65535),
     ),
     incarnation=u64,
@@ -153,13 +153,12 @@
             (b"\x01" * 1_401, RefusedReason.TOO_LONG),
         ],
     )
-    def test_each_reason(self, data, reason):
+    def test_the_reason_of_a_refusal(self, data, reason):
         assert CODEC.decode(data) == Refused(reason=reason)
 
     def test_another_deployment_is_not_heard(self):
-        # An address that belonged to another fleet last week still gets its
-        # datagrams. Taken in, they would merge the two fleets' tables and hand
-        # queries to hosts that serve another library.
+        # Guards against merging the tables of two fleets after an address was
+        # reassigned, which would send queries to hosts that serve another library.
         message = Table(source=build_member(1), members=())
         other = GossipCodec(deployment="qureshi").encode(message)
         assert isinstance(other, bytes)
@@ -169,7 +168,7 @@
         message = Table(source=build_member(1, name="x" * 65), members=())
         assert CODEC.decode(encode(message)) == Refused(reason=RefusedReason.GARBLED)
 
-    def test_what_can_not_fit_is_refused_before_it_is_sent(self):
+    def test_a_message_that_is_too_long_is_refused_by_the_sender(self):
         table = Table(
             source=build_member(0),
             members=tuple(build_member(n, name=f"host-{n:058}") for n in range(20)),
@@ -177,8 +176,8 @@
         assert CODEC.encode(table) == Refused(reason=RefusedReason.TOO_LONG)
 
 
-class TestRoom:
-    """What the coordination layer packs by its own estimate always fits."""
+class TestSizeLimits:
+    """Datagrams filled by the coordination layer's size estimate always fit."""
 
     LONGEST = Member(
         name="n" * 64,
@@ -258,7 +257,7 @@
 
 
 class TestService:
-    async def test_hosts_meet_leave_and_are_missed(self, caplog):
+    async def test_hosts_join_leave_and_fail(self, caplog):
         caplog.set_level(logging.INFO, "lavendergap.membership")
         first, first_endpoint = await open_host(1)
         second, second_endpoint = await open_host(2)
@@ -291,8 +290,8 @@
         assert "is live (was unknown), reported by ptl-a-" in first_line.getMessage()
 
     async def test_the_timer_rests_until_something_is_due(self, monkeypatch):
-        # Sending woke the timer loop, which sent nothing and woke itself again: a
-        # host at rest kept a whole core busy, and its queries were late.
+        # Guards against a timer loop that wakes itself and keeps a core of an idle host
+        # busy, which delays queries.
         n_advances = 0
         advance = Membership.advance
 
@@ -316,10 +315,9 @@
         first_endpoint.close()
         second_endpoint.close()
 
-    async def test_garbage_is_counted_and_the_service_goes_on(self):
-        # A port scanner and a host of an older format send to the peers' port.
-        # An exception would end the loop, and the host would be held dead while
-        # it serves its callers.
+    async def test_malformed_datagrams_are_counted_and_dropped(self):
+        # Guards against malformed datagrams that end the loop, so that a host that
+        # still serves callers is declared dead.
         membership, endpoint = await open_host(1)
         _, stranger = await open_host(2, deployment="qureshi")
         socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -342,8 +340,8 @@
             closed.close()
 
     async def test_a_send_that_fails_is_counted(self):
-        # The route to a region is withdrawn: the kernel refuses the send at once.
-        # The loop must outlive it, since this is what probes are there to find.
+        # Guards against a loop that ends when the kernel refuses a send, as it does
+        # without a route to the peer.
         membership, endpoint = await open_host(1)
         membership.join([Address(ip="::1", port=9)])
         await endpoint.send(membership.advance(now=0.0))
--- a/tests/test_hostfile.py
+++ b/tests/test_hostfile.py
@@ -1,4 +1,4 @@
-"""The settings file of a gateway host: what is wrong is named."""
+"""Parsing of a gateway host's settings file, and its error messages."""
 
 import json
 from pathlib import Path
@@ -34,7 +34,7 @@
 
 
 class TestReading:
-    def test_seeds_are_tried_at_the_port_of_peers(self):
+    def test_seeds_get_the_peer_port(self):
         assert parse().seeds == (Address(ip="10.2.0.21", port=7380),)
 
     def test_comments_are_allowed(self):
@@ -45,7 +45,7 @@
         bounds = parse().bounds
         assert (bounds.drain, bounds.stop_within) == (3.0, 6.0)
 
-    def test_what_a_platform_without_evacuations_leaves_out(self):
+    def test_bounds_on_evacuations_and_cold_servers_are_optional(self):
         bounds = parse().bounds
         assert bounds.evacuate is None
         assert (bounds.cold_rate_factor, bounds.cold_rate_slack) == (1.0, 0.0)
@@ -54,7 +54,7 @@
         assert bounds.evacuate == 5.0
         assert (bounds.cold_rate_factor, bounds.cold_rate_slack) == (1.5, 5.0)
 
-    def test_a_host_s_strength_is_its_share_of_a_fast_processor(self):
+    def test_cores_are_the_cpu_share_times_the_cpu_speed(self):
         assert parse(cpu_share=0.7, cpu_speed=3).cores == pytest.approx(2.1)
         assert parse().cores == DEFAULT_CORES
 
@@ -72,7 +72,7 @@
             ({"unknown": 1}, "(top)"),
         ],
     )
-    def test_the_message_names_file_field_and_expectation(self, changes, place):
+    def test_the_message_names_the_file_and_the_field(self, changes, place):
         with pytest.raises(SettingsError) as caught:
             parse(**changes)
         assert str(caught.value).startswith(f"host.jsonc: {place}: ")
@@ -83,8 +83,8 @@
 
 
 class TestTemplate:
-    def test_every_setting_is_filled_in(self):
-        # The platform fills in the template; what it names has to be what is read.
+    def test_the_template_has_every_setting(self):
+        # The platform fills in this template, so it must contain every setting.
         template = Path(__file__).parents[1] / "deploy" / "host.jsonc"
         text = template.read_text()
         for name in [*FILE, *BOUNDS, "heartbeat_ms", "cpu_share", "cpu_speed"]:
--- a/tests/test_leaf.py
+++ b/tests/test_leaf.py
@@ -1,4 +1,4 @@
-"""Headers of calls to backend servers, and what statuses and reports prove."""
+"""Headers of calls to backend servers, and validation of answers and load reports."""
 
 import pytest
 from hypothesis import given, settings
@@ -44,12 +44,12 @@
 
 
 class TestAnswer:
-    def test_a_matching_answer_counts(self):
+    def test_a_matching_answer_is_accepted(self):
         assert judge(200, MATCHING) == Answered(body=b"{}")
 
     @pytest.mark.parametrize("name", list(MATCHING))
-    def test_what_is_not_stated_is_not_assumed(self, name):
-        """A server that leaves a name out may have answered anything."""
+    def test_an_answer_without_a_required_header_is_rejected(self, name):
+        """Guards against accepting an answer to another attempt, shard or version."""
         headers = {n: v for n, v in MATCHING.items() if n != name}
         wrong = Unknown(step=Step.CHECK, peer="a", reason=Reason.WRONG_ANSWER)
         assert judge(200, headers) == wrong
@@ -65,7 +65,7 @@
             (408, Reason.DEADLINE),
         ],
     )
-    def test_the_servers_word_is_believed(self, status, reason):
+    def test_a_marked_refusal_is_not_run(self, status, reason):
         headers = {b"outcome": b"not-run", b"retry-after": b"2"}
         expected = NotRun(
             step=Step.RECEIVE, peer="a", reason=reason, retry_after_ms=2_000
@@ -74,16 +74,13 @@
 
     @pytest.mark.parametrize("status", [500, 503, 409, 421, 204, 302])
     def test_without_its_word_nothing_is_known(self, status):
-        """Something between the ends answers 503 after the server ran a booking."""
+        """Guards against repeating a booking that ran if a proxy answered with 503."""
         expected = Unknown(step=Step.RECEIVE, peer="a", reason=Reason.SERVER_ERROR)
         assert judge(status, MATCHING) == expected
 
     @pytest.mark.parametrize("text", [b"inf", b"1e300", b"-1", b"nan", b"soon", b""])
-    def test_a_senseless_time_to_come_back_is_replaced(self, text):
-        """One bad header used to end the process: no integer is infinite.
-
-        Numbers over 32 bits did the same in the message to the coordinator.
-        """
+    def test_an_invalid_retry_after_is_replaced_by_the_default(self, text):
+        """Guards against a process that ends on an infinite or too large number."""
         outcome = judge(503, {b"outcome": b"not-run", b"retry-after": text})
         assert outcome.retry_after_ms == DEFAULT_RETRY_AFTER_MS
 
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform, as data classes and as JSON."""
+"""The codecs of the objects stored on the platform."""
 
 import json
 from dataclasses import replace
@@ -42,12 +42,12 @@
 
 
 class TestSettingsObject:
-    def test_what_is_encoded_is_decoded(self):
+    def test_round_trip(self):
         value = SettingsObject(text="{}", edits=(make_edit(1),))
         data = encode_settings_object(value)
         assert decode_settings_object(data, key="settings/x") == value
 
-    def test_the_last_edits_are_remembered(self):
+    def test_only_the_last_edits_are_kept(self):
         value = SettingsObject(text="{}")
         for number in range(MAX_EDITS + 5):
             value = value.add_edit(make_edit(number), text=f"{{}} // {number}")
@@ -56,20 +56,20 @@
         assert value.find_edit("id-4") is None
         assert value.find_edit("id-5") == make_edit(5)
 
-    def test_a_value_over_the_limit_is_not_sent(self):
+    def test_a_value_over_the_limit_is_rejected(self):
         with pytest.raises(ObjectError, match="at most 1000000 are allowed"):
             encode_settings_object(SettingsObject(text='"' * 500_000))
 
     @pytest.mark.parametrize(
         "data", [b"", b"[]", b'{"text": 1}', b'{"text": "\xff"}', b'{"text": "a"']
     )
-    def test_garbage_is_refused_with_its_key(self, data):
+    def test_malformed_data_is_rejected_with_its_key(self, data):
         with pytest.raises(ObjectError, match="settings/x: "):
             decode_settings_object(data, key="settings/x")
 
 
 class TestReadSettings:
-    """What an object's resolved form is worth: nothing without its very text."""
+    """The resolved form is used only if it belongs to the text."""
 
     TEXT = json.dumps(TREE)
 
@@ -78,7 +78,7 @@
         decoded = decode_settings_object(data, key="settings/small")
         return read_settings(decoded, key="settings/small", version=7)
 
-    def test_the_resolved_form_saves_the_check(self, monkeypatch):
+    def test_a_matching_resolved_form_is_used_without_parsing(self, monkeypatch):
         settings = parse_settings(self.TEXT, file="f")
         value = SettingsObject(
             text=self.TEXT, resolved=resolve_text(self.TEXT, settings)
@@ -87,17 +87,16 @@
         assert self.read(value) == replace(settings, version=7)
 
     def test_a_text_that_was_changed_alone_counts(self):
-        """The text is what operators see and edit; the form must not outlive it.
+        """Guards against hosts that act on settings other than operators see.
 
-        An older tool, or a person, writes a new text and leaves the resolved form of
-        the old one. Hosts that took it would act on settings that nobody sees.
+        An older tool or a person may replace the text and keep the old resolved form.
         """
         resolved = resolve_text(self.TEXT, parse_settings(self.TEXT, file="f"))
         changed = self.TEXT.replace('"slots": 3', '"slots": 4')
         settings = self.read(SettingsObject(text=changed, resolved=resolved))
         assert settings == parse_settings(changed, file="f", version=7)
 
-    def test_a_form_of_another_release_is_passed_over(self):
+    def test_a_form_of_another_release_is_ignored(self):
         digest = resolve_text(self.TEXT, parse_settings(self.TEXT, file="f")).digest
         other = ResolvedText(digest=digest, data=b"of another release")
         settings = self.read(SettingsObject(text=self.TEXT, resolved=other))
@@ -108,13 +107,13 @@
         data = encode_settings_object(SettingsObject(text="{}", resolved=resolved))
         assert decode_settings_object(data, key="x") == SettingsObject(text="{}")
 
-    def test_a_bad_text_is_refused_by_its_key(self):
+    def test_an_invalid_text_is_reported_with_its_key(self):
         with pytest.raises(SettingsError, match="settings/small: 1:1: "):
             self.read(SettingsObject(text=""))
 
 
 class TestIndex:
-    def test_without_an_object_each_group_is_a_shard(self):
+    def test_the_first_index_has_a_shard_for_each_group(self):
         service = parse_settings(msgspec.json.encode(TREE), file="f").services[0]
         first = make_first_index(service)
         data = encode_index_object(first)
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""The table of options and what follows from it."""
+"""The table of options, and the reference page generated from it."""
 
 import dataclasses
 
@@ -28,13 +28,13 @@
         [
             (Level.CONTROL, Control, set()),
             (Level.HOST, Host, {"name", "data_centre"}),
-            # Incarnation and cold limit come from what the server says of itself.
+            # Incarnation and cold limit come from the server's registration.
             (Level.SERVER, Server, {"name", "incarnation", "cold_limit"}),
-            # What a platform allows beyond the shares is no operator's choice.
+            # The platform's allowance of extra calls is not set by operators.
             (Level.SERVICE, Service, {"name", "groups", "extra"}),
         ],
     )
-    def test_every_setting_has_its_option(self, level, data, structural):
+    def test_every_setting_has_an_option(self, level, data, structural):
         fields = {field.name for field in dataclasses.fields(data)} - structural
         lowest = {option.name for option in OPTIONS if option.lowest is level}
         assert fields == lowest
@@ -73,11 +73,11 @@
 
 
 class TestReference:
-    def test_the_page_agrees_with_the_table(self):
+    def test_the_page_is_up_to_date(self):
         page = PAGE.read_text(encoding="utf-8")
         assert page == replace_reference(page), "run python -m lab.reference"
 
-    def test_the_page_names_every_option_once(self):
+    def test_the_page_lists_every_option_once(self):
         reference = write_reference()
         inner = [o for options in STRAGGLERS_OPTIONS.values() for o in options]
         for option in [*OPTIONS, *inner]:
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""The second codec between hosts: what is sent is what arrives, whatever comes in."""
+"""The msgpack codec between hosts: round trips, malformed input and compression."""
 
 import contextlib
 from random import Random
@@ -109,23 +109,23 @@
 
 
 def make_servers(n_servers: int) -> FeedState:
-    """Return the feed of so many servers; what differs is drawn at random."""
-    dice = Random(1)
+    """Return a feed of `n_servers` entries with random ids, addresses and services."""
+    rng = Random(1)
     entries = []
     for n in range(n_servers):
-        address = f"10.4.{dice.randrange(256)}.{dice.randrange(256)}:8360"
+        address = f"10.4.{rng.randrange(256)}.{rng.randrange(256)}:8360"
         body = (
-            f'{{"service":"dele{dice.randrange(100)}a","address":"{address}",'
+            f'{{"service":"dele{rng.randrange(100)}a","address":"{address}",'
             f'"zone":"ptl-a","version":"v1","slots":2,"state":"ready",'
             f'"warmup_left_ms":0,"born":{1_700_000_000_000 + n},"seq_no":{n}}}'
         )
         entries.append(
-            FeedEntry(name=f"i-{dice.randbytes(5).hex()}", body=body.encode())
+            FeedEntry(name=f"i-{rng.randbytes(5).hex()}", body=body.encode())
         )
     return FeedState(feed="servers", revision=5, entries=tuple(entries))
 
 
-def pass_through(message: Message) -> Message:
+def send_and_receive(message: Message) -> Message:
     data = encode_frame(Frame(id=9, message=message))
     length, is_packed = read_length(data, 0)
     body = data[LENGTH.size :]
@@ -137,30 +137,29 @@
 
 class TestRoundTrip:
     @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-    def test_what_is_sent_arrives(self, message):
-        assert pass_through(message) == message
+    def test_round_trip(self, message):
+        assert send_and_receive(message) == message
 
 
-class TestGarbage:
+class TestMalformedInput:
     @given(st.binary(max_size=60))
-    def test_any_bytes_are_a_message_or_a_bad_frame(self, body):
+    def test_arbitrary_bytes_raise_only_bad_frame_errors(self, body):
         with contextlib.suppress(BadFrameError):
             decode_frame(body, is_packed=True)
 
     @given(st.integers(0, len(MESSAGES) - 1), st.data())
-    def test_a_torn_message_is_a_bad_frame(self, place, data):
+    def test_a_truncated_message_is_a_bad_frame(self, place, data):
         whole = encode_frame(Frame(id=1, message=MESSAGES[place]))[LENGTH.size :]
         cut = data.draw(st.integers(0, len(whole) - 1))
         with pytest.raises(BadFrameError):
             decode_frame(whole[:cut], is_packed=True)
 
 
-class TestLongNews:
-    # An operator's document of 100 KB is told to one host of each other data centre.
-    # It must cross as some kilobytes, and a frame that swells to fill a weak host's
-    # memory must be refused before it does.
+class TestCompression:
+    # Guards against sending long documents uncompressed between data centres, and
+    # against frames that exhaust a host's memory when they are decompressed.
 
-    def make_news(self, body: bytes, *, passes_on: bool) -> FeedNews:
+    def make_update(self, body: bytes, *, passes_on: bool) -> FeedNews:
         return FeedNews(
             feed="routes",
             base=1,
@@ -170,28 +169,28 @@
             passes_on=passes_on,
         )
 
-    def test_they_cross_packed(self):
+    def test_a_long_document_is_compressed(self):
         routes = [f'{{"name": "r{n}", "timeout_ms": 400}}' for n in range(3_000)]
         body = ",".join(routes).encode()
         assert len(body) > 100_000
-        packed = pack_news(1, self.make_news(body, passes_on=True))
+        packed = pack_news(1, self.make_update(body, passes_on=True))
         assert len(packed) < len(body) / 8
 
-    def test_neighbours_get_them_packed(self):
-        """Guards against a relay whose link is full of copies for its neighbours."""
+    def test_a_relayed_document_is_compressed(self):
+        """Guards against a relay that fills its link with copies for its neighbours."""
         body = b'{"name": "r1", "timeout_ms": 400},' * 3_000
-        packed = pack_news(1, self.make_news(body, passes_on=False))
+        packed = pack_news(1, self.make_update(body, passes_on=False))
         assert len(packed) < len(body) / 8
 
-    def test_a_whole_copy_is_packed(self):
-        """Guards against the same of a host whose copy all neighbours ask for."""
+    def test_a_full_copy_of_a_feed_is_compressed(self):
+        """Guards against a host that fills its link when neighbours fetch its copy."""
         state = make_servers(405)
         plain = sum(len(entry.body) for entry in state.entries)
         packed = pack_state(1, state)
         assert len(packed) < plain / 4
         assert unpack(packed).message == state
 
-    def test_a_frame_that_swells_is_refused(self):
-        news = self.make_news(b"0" * (MAX_INFLATED_BYTES + 1), passes_on=True)
+    def test_a_decompression_bomb_is_rejected(self):
+        news = self.make_update(b"0" * (MAX_INFLATED_BYTES + 1), passes_on=True)
         with pytest.raises(BadFrameError):
             unpack(pack_news(1, news))
--- a/tests/test_resolved.py
+++ b/tests/test_resolved.py
@@ -1,4 +1,4 @@
-"""The form in which hosts hand settings to each other."""
+"""The codec of resolved settings."""
 
 import json
 import zlib
@@ -29,16 +29,16 @@
 
 
 class TestResolved:
-    def test_what_is_encoded_is_decoded(self, settings):
+    def test_round_trip(self, settings):
         assert decode_settings(encode_settings(settings)) == settings
 
-    def test_anything_cut_short_or_garbled_is_refused(self, settings):
-        """A host takes no half of a version: it keeps what it had before."""
+    def test_truncated_or_malformed_data_is_rejected(self, settings):
+        """Guards against a host that applies a part of a version."""
         data = encode_settings(settings)
-        garbled = [data[:n] for n in range(0, len(data), 7)]
-        garbled += [data + b"x", change(data, version="7"), change(data, hosts=[1])]
-        garbled.append(change(data, services=[{"name": "\x00"}]))
-        for bad in garbled:
+        malformed = [data[:n] for n in range(0, len(data), 7)]
+        malformed += [data + b"x", change(data, version="7"), change(data, hosts=[1])]
+        malformed.append(change(data, services=[{"name": "\x00"}]))
+        for bad in malformed:
             with pytest.raises(ObjectError):
                 decode_settings(bad)
 
@@ -47,7 +47,7 @@
         with pytest.raises(ObjectError, match="format 2, expected 1; upgrade"):
             decode_settings(data)
 
-    def test_a_small_frame_cannot_unpack_to_a_huge_one(self, monkeypatch):
+    def test_a_decompression_bomb_is_rejected(self, monkeypatch):
         monkeypatch.setattr(resolved, "MAX_PLAIN_BYTES", 10_000)
         with pytest.raises(ObjectError, match="too large"):
             decode_settings(zlib.compress(bytes(1_000_000)))
--- a/tests/test_ticket.py
+++ b/tests/test_ticket.py
@@ -1,3 +1,5 @@
+"""The text form of tickets: round trips, and the reasons for rejected texts."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""The messages about tickets between hosts, and what is refused among them."""
+"""The messages about tickets between hosts: round trips and rejected input."""
 
 from contextlib import suppress
 
@@ -60,14 +60,17 @@
     witness=st.none() | PEERS,
     mac=st.from_regex(r"[0-9a-f]{16}", fullmatch=True),
 )
-PLACES = {"step": st.sampled_from(Step), "peer": NAMES}
+STEP_AND_PEER = {"step": st.sampled_from(Step), "peer": NAMES}
 REASONS = st.sampled_from(Reason)
 OUTCOMES = st.one_of(
     st.builds(Answered, body=st.binary(max_size=99)),
     st.builds(
-        NotRun, **PLACES, reason=REASONS, retry_after_ms=st.integers(0, 2**32 - 1)
+        NotRun,
+        **STEP_AND_PEER,
+        reason=REASONS,
+        retry_after_ms=st.integers(0, 2**32 - 1),
     ),
-    st.builds(Unknown, **PLACES, reason=REASONS),
+    st.builds(Unknown, **STEP_AND_PEER, reason=REASONS),
 )
 REQUESTS = st.one_of(
     st.builds(
@@ -95,7 +98,7 @@
 
 
 def send(message):
-    """Return the message as the other host reads it."""
+    """Return the message as another host decodes it."""
     return decode_frame(encode_frame(Frame(id=1, message=message))[4:]).message
 
 
@@ -147,7 +150,7 @@
         assert isinstance(parse_ticket(TICKET[:length]), BadTicket)
 
     @pytest.mark.parametrize("verb", [RUN, ASK, PING, "", "Void", "refused: "])
-    def test_a_verb_that_is_not_for_a_witness_is_refused(self, verb):
+    def test_an_unknown_witness_verb_is_refused(self, verb):
         with pytest.raises(BadFrameError):
             decode_request(TicketAsk(verb=verb, ticket=TICKET))
 
@@ -171,11 +174,7 @@
 
     @pytest.mark.parametrize("n_bytes", [0, 15, 65, 4096])
     def test_a_secret_that_cannot_be_a_key_is_refused(self, n_bytes):
-        """A host dies with the records of all others after one odd message.
-
-        The secret is kept when the issuer is opened; the hash raises on it at that
-        issuer's first ticket, in the middle of the witness. So it is refused first.
-        """
+        """Guards against a secret that ends the witness's process at a later ticket."""
         ask = TicketAsk(verb=OPEN, ticket="a-1~7~b-1~9", body=b"k" * n_bytes)
         with pytest.raises(BadFrameError):
             decode_request(ask)
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Settings files: what is inherited, and all that is refused with its place."""
+"""Settings files: inheritance, and the errors for invalid files with their paths."""
 
 import copy
 import json
@@ -62,7 +62,7 @@
 
 
 def edit(path, value):
-    """Return the text of the small tree with one place set, or removed."""
+    """Return the text of the small tree with the value at `path` set or removed."""
     tree = copy.deepcopy(TREE)
     *parents, last = path.split(".")
     branch = tree
@@ -81,7 +81,7 @@
 
 
 def list_problems(text):
-    """Return the problems that `text` is refused with, as (path, expected)."""
+    """Return the problems reported for `text`, as (path, expected)."""
     with pytest.raises(SettingsError) as caught:
         parse_settings(text, file="f.jsonc")
     assert all(problem.file == "f.jsonc" for problem in caught.value.problems)
@@ -97,7 +97,7 @@
         assert servers[1].address == Address(ip="127.0.0.1", port=20001)
         assert (settings.version, settings.hosts[0].data_centre) == (9, "dc-1")
 
-    def test_each_value_tells_its_source(self):
+    def test_each_value_has_its_source(self):
         tree = parse_tree(json.dumps(TREE), file="f")
         found = {branch.path: branch for branch in tree.walk()}
         options = found[SERVER_A].options
@@ -228,12 +228,14 @@
             ("control", [], "control", "expected an object"),
         ],
     )
-    def test_one_mistake_is_one_problem_in_its_place(self, path, value, place, words):
+    def test_one_mistake_yields_one_problem_at_its_path(
+        self, path, value, place, words
+    ):
         ((found, expected),) = list_problems(edit(path, value))
         assert found == place
         assert words in expected
 
-    def test_all_mistakes_are_told_at_once(self):
+    def test_all_mistakes_are_reported_at_once(self):
         text = edit("slots", 0).replace('"idempotent": false', '"idempotent": 0')
         text = text.replace("127.0.0.1:20001", "127.0.0.1:20000")
         places = [path for path, _ in list_problems(text)]
@@ -243,7 +245,7 @@
             f"{SEARCH}.groups.search-0.servers.search-0-b.address",
         ]
 
-    def test_a_garbled_file_does_not_flood_the_terminal(self):
+    def test_a_malformed_file_does_not_flood_the_terminal(self):
         tree = TREE | {f"key-{n}\x1b[2J": n for n in range(1000)}
         problems = list_problems(json.dumps(tree))
         assert len(problems) == 51
@@ -252,7 +254,7 @@
 
 
 class TestSyntax:
-    def test_comments_change_nothing(self):
+    def test_comments_are_ignored(self):
         plain = json.dumps(TREE)
         commented = plain.replace(
             '"slots": 3,', '/* " */ "slots" // "slots": 4,\r\n: 3, // it\'s "so"\n'
@@ -266,11 +268,10 @@
             "c": '"//',
         }
 
-    def test_a_comment_swallows_no_line(self):
-        """An option after a line end that an editor shows must not vanish.
+    def test_a_comment_ends_with_its_line(self):
+        """Guards against silently dropping an option that follows a comment.
 
-        A comment that ran on would drop the option in silence, and the operator
-        would find the default in force. Such a file is read or refused.
+        Any line break that editors show must end the comment or be rejected.
         """
         text = '{"a": 1 // b\r, "c": 2}'
         assert syntax.parse_text(text, file="f") == {"a": 1, "c": 2}
@@ -300,16 +301,16 @@
             (" " * 1_000_001, "", "at most 1000000 bytes, but this has 1000001"),
         ],
     )
-    def test_text_that_is_no_settings_file(self, text, place, words):
+    def test_malformed_text_is_rejected_with_its_position(self, text, place, words):
         ((found, expected),) = list_problems(text)
         assert found == place
         assert words in expected
 
     @pytest.mark.parametrize("share", [0.1, 0.5, 0.9, 0.999])
-    def test_a_file_cut_short_is_refused(self, share):
+    def test_a_truncated_file_is_rejected(self, share):
         text = json.dumps(TREE)
         assert list_problems(text[: int(len(text) * share)])
 
-    def test_a_file_that_cannot_be_read(self, tmp_path):
+    def test_an_unreadable_file_is_a_settings_error(self, tmp_path):
         with pytest.raises(SettingsError, match=r"none\.jsonc: .*No such file"):
             load_settings(tmp_path / "none.jsonc")
