--- a/src/lavendergap/state/syntax.py
+++ b/src/lavendergap/state/syntax.py
@@ -40,7 +40,7 @@
     except RecursionError:
         raise _make_error(file, "", f"a tree at most {MAX_DEPTH} levels deep") from None
     except ValueError as error:
-        raise _describe_json_error(error, file=file) from None
+        raise _make_json_error(error, file=file) from None
     problems: list[Problem] = []
     tree = _build_tree(
         raw, "", 1, lambda p, e: problems.append(_make_problem(file, p, e))
@@ -111,7 +111,7 @@
     return f"{path}.{shown}" if path else shown
 
 
-def _describe_json_error(error: ValueError, *, file: str) -> SettingsError:
+def _make_json_error(error: ValueError, *, file: str) -> SettingsError:
     if not isinstance(error, json.JSONDecodeError):
         return _make_error(file, "", f"JSON with comments, but {error}")
     rest = error.doc[error.pos :]
