--- a/src/lavendergap/coordination/dissemination.py
+++ b/src/lavendergap/coordination/dissemination.py
@@ -1,4 +1,4 @@
-"""News on its way: which records still ride on datagrams, and how often."""
+"""Updates to piggyback on datagrams, and how often each is sent."""
 
 from dataclasses import dataclass
 from math import ceil, log10
@@ -6,23 +6,23 @@
 from ..state.member import Member
 
 RETRANSMIT_FACTOR = 4
-"""Sends of one record by one host, times the decimal logarithm of the fleet."""
+"""How often a host sends one record, per decimal logarithm of the host count."""
 
 MAX_UPDATE_BYTES = 600
-"""Room for piggybacked records in one datagram."""
+"""Space for piggybacked records in one datagram."""
 
-_BYTES_FOR_EACH = 88
-_WORD = 8
+_RECORD_BYTES = 88
+_LENGTH_BYTES = 8
 
 
 def estimate_bytes(member: Member) -> int:
-    """Return an upper bound of the bytes that a record takes on the wire."""
+    """Return an upper bound of the size of an encoded record."""
     n_bytes = len(member.name.encode()) + len(member.data_centre.encode())
-    return _BYTES_FOR_EACH + n_bytes + 2 * _WORD
+    return _RECORD_BYTES + n_bytes + 2 * _LENGTH_BYTES
 
 
 def limit_sends(n_members: int) -> int:
-    """Return how often each host passes one record on in a fleet of that size.
+    """Return how often each host sends one record, with that many members.
 
     >>> limit_sends(7), limit_sends(550)
     (4, 12)
@@ -39,8 +39,8 @@
 class Dissemination:
     """Records to piggyback, those sent least often first.
 
-    The bound on sends keeps the cost of one change at the logarithm of the fleet
-    for each host; what this leaves out is found by comparing tables.
+    The limit on sends keeps the cost of one change logarithmic in the number of hosts;
+    updates that a host misses are found by comparing tables.
     """
 
     def __init__(self) -> None:
@@ -50,34 +50,34 @@
         return bool(self._items)
 
     def add(self, member: Member) -> None:
-        """Start passing a record on, in place of an older one of the same name."""
+        """Queue a record, replacing an older one of the same name."""
         self._items[member.name] = _Item(member=member)
 
     def drop(self, name: str) -> None:
-        """Stop passing on what is known of a member."""
+        """Remove the record of a member from the queue."""
         self._items.pop(name, None)
 
     def clear(self) -> None:
-        """Stop passing anything on."""
+        """Empty the queue."""
         self._items.clear()
 
     def take(self, n_members: int, first: Member | None = None) -> tuple[Member, ...]:
         """Return the records for one datagram and count them as sent.
 
-        `first` goes with it in any case: what is said of the receiver, so that it
-        can refute a suspicion with its answer.
+        `first` is always included: the record that the receiver has to refute, so that
+        its answer can carry the refutation.
         """
-        room = MAX_UPDATE_BYTES
+        bytes_left = MAX_UPDATE_BYTES
         taken = []
         if first is not None:
-            room -= estimate_bytes(first)
+            bytes_left -= estimate_bytes(first)
             taken.append(first)
         limit = limit_sends(n_members)
         for item in sorted(self._items.values(), key=lambda item: item.n_sent):
             if item.member is first:
                 continue
-            room -= estimate_bytes(item.member)
-            if room < 0:
+            bytes_left -= estimate_bytes(item.member)
+            if bytes_left < 0:
                 break
             taken.append(item.member)
             item.n_sent += 1
--- a/src/lavendergap/coordination/membership.py
+++ b/src/lavendergap/coordination/membership.py
@@ -1,8 +1,8 @@
-"""Who is in the fleet: hosts probe each other and pass on what they find.
+"""Failure detection and membership of the hosts, after the SWIM protocol.
 
-The protocol is of the SWIM family (Das, Gupta and Motivala, 2002): each host
-probes one other in turn, asks a few others to try when it gets no answer, and news
-rides on the probes. See docs/design/membership.md for the ways weighed.
+SWIM (Das, Gupta and Motivala, 2002): each host probes one other in turn, asks a few
+others to probe a member that does not answer, and piggybacks updates on the probes.
+docs/design/membership.md compares the alternatives.
 """
 
 from collections.abc import Iterable
@@ -26,37 +26,41 @@
 from .membertable import MemberTable
 from .probing import Probe, Probes
 
-N_INDIRECT = 3
-"""How many others are asked to try a member that did not answer."""
+N_INDIRECT_PROBES = 3
+"""How many other hosts are asked to probe a member that did not answer."""
 
-N_SPREAD = 3
-"""To how many others fresh news goes at once, beside riding on probes."""
+GOSSIP_FANOUT = 3
+"""How many hosts receive a new update at once, in addition to piggybacking."""
 
 MAX_TABLE_BYTES = 1_100
-MAX_TABLES = 8
-"""Datagrams of table in one exchange; what is left waits for the next one."""
+MAX_TABLE_DATAGRAMS = 8
+"""Datagrams of table in one exchange; the rest waits for the next exchange."""
 
 MAX_HINTS = 2_048
-JOIN_S = 60.0
+RAISE_INCARNATION_S = 60.0
+"""How long after its start a process may raise its own incarnation."""
+
 RETRY_DEAD_S = 21_600.0
-"""How long a dead member is tried again: regions lose each other for an hour."""
+"""How long a dead member is pinged; a partition of regions may last an hour."""
+
+# These are in probe intervals.
+_GOSSIP_DELAY = 0.1
+_GOSSIP_SPACING = 0.25
+_SYNC_INTERVAL = 30
+_SYNC_SOON_DELAY = 0.2
+_RETRY_INTERVAL = 10
+_ALONE_TIMEOUT = 5
 
-_SPREAD_DELAY = 0.1
-_SPREAD_SPACING = 0.25
-_SYNC_PROBES = 30
-_SYNC_SOON = 0.2
-_RETRY_PROBES = 10
-_ALONE_PROBES = 5
-_MAX_SYNCS_IN_A_ROW = 40
+_MAX_CONSECUTIVE_SYNCS = 40
 
 
 class Membership:
-    """One host's view of the fleet. Datagrams and time go in, datagrams come out.
+    """One host's view of the live hosts. Datagrams and time go in, datagrams come out.
 
-    The caller hands each received message to `receive`, calls `advance` no later
-    than `next_wake()`, and sends whatever these return. Times are seconds of one
-    monotonic clock. Nothing is believed on the word of the platform's host list:
-    hints are only tried.
+    The caller hands each received message to `receive`, calls `advance` no later than
+    `next_wake()`, and sends the datagrams that these return. Times are seconds of one
+    monotonic clock. Addresses from the platform's host list are hints only: a host
+    counts as a member once it has sent a message or another host has reported it.
 
     >>> def build(name: str, port: int) -> Membership:
     ...     own = Member(name=name, data_centre="ptl-a", incarnation=1,
@@ -76,25 +80,25 @@
         self.joined = False
         self.n_old_incarnations = 0
         self._random = random
-        self._interval = control.probe_interval_ms / 1000
-        self._suspect = control.suspect_ms / 1000
-        self._table = MemberTable(own=own, suspect_s=self._suspect)
+        self._interval_s = control.probe_interval_ms / 1000
+        self._suspect_s = control.suspect_ms / 1000
+        self._table = MemberTable(own=own, suspect_s=self._suspect_s)
         self._roster = self._table.roster
         self._probes = Probes(
-            interval_s=self._interval, timeout_s=control.probe_timeout_ms / 1000
+            interval_s=self._interval_s, timeout_s=control.probe_timeout_ms / 1000
         )
         self._hints: dict[Address, None] = {}
-        self._live: tuple[frozenset[str], bool, frozenset[str]] | None = None
+        self._live_cache: tuple[frozenset[str], bool, frozenset[str]] | None = None
         self._started_at: float | None = None
-        self._last_seen = 0.0
+        self._last_call_at = 0.0
         self._probe_at = 0.0
         self._retry_at = 0.0
         self._sync_at = 0.0
-        self._n_syncs_in_a_row = 0
-        self._spread_at: float | None = None
-        self._last_spread = 0.0
+        self._n_consecutive_syncs = 0
+        self._gossip_at: float | None = None
+        self._last_gossip_at = 0.0
 
-    # What the rest of the process asks.
+    # Queries.
 
     @property
     def own(self) -> Member:
@@ -103,12 +107,12 @@
 
     @property
     def superseded(self) -> bool:
-        """Whether another process took this one's name; then it says no more."""
+        """Whether a newer process has taken this name; this one then sends nothing."""
         return self._table.superseded
 
     @property
     def changes(self) -> int:
-        """How often what is believed of a member has changed."""
+        """How many changes to member records have been recorded."""
         return self._table.n_changes
 
     def live(self) -> frozenset[str]:
@@ -117,17 +121,20 @@
         The same object is returned until it changes.
         """
         others = self._roster.names_that_may_own()
-        if self._live is None or self._live[:2] != (others, self.own.may_own):
+        if self._live_cache is None or self._live_cache[:2] != (
+            others,
+            self.own.may_own,
+        ):
             own = {self.own.name} if self.own.may_own else set()
-            self._live = (others, self.own.may_own, others | own)
-        return self._live[2]
+            self._live_cache = (others, self.own.may_own, others | own)
+        return self._live_cache[2]
 
     def members(self) -> tuple[Member, ...]:
         """Return the records of all members but the dead, this host's own first."""
         return (self.own, *self._roster.members())
 
     def suspects(self) -> frozenset[str]:
-        """Return the names of the hosts that have not answered lately."""
+        """Return the names of the hosts that did not answer a probe and may be dead."""
         return frozenset(
             member.name
             for member in self._roster.members()
@@ -139,28 +146,28 @@
         return {m.name: m.data_centre for m in self.members() if m.may_own}
 
     def get(self, name: str) -> Member | None:
-        """Return what is known of a member, also of a dead one, or None."""
+        """Return the record of a member, dead members included, or None."""
         return self._table.get(name)
 
     def take_events(self) -> list[Event]:
-        """Return what happened since the last call, the oldest first."""
+        """Return and remove the recorded events, the oldest first."""
         return self._table.take_events()
 
     def next_wake(self) -> float:
         """Return the time by which `advance` is to be called."""
         times = [self._probe_at, self._retry_at, self._sync_at]
-        if self._spread_at is not None:
-            times.append(self._spread_at)
+        if self._gossip_at is not None:
+            times.append(self._gossip_at)
         times += [self._probes.next_due(), self._table.next_due()]
         return min(times)
 
-    # What the rest of the process does.
+    # Commands.
 
     def join(self, hints: Iterable[Address]) -> None:
-        """Take addresses to try, from the settings or the platform's host list.
+        """Add addresses to ping, from the settings or the platform's host list.
 
-        A hint makes nobody live or dead: the platform's list lags, and a host
-        that it still shows as live may be gone.
+        A hint marks no host live or dead: the platform's list lags, and a host that it
+        still lists as live may be gone.
         """
         for address in hints:
             if address != self.own.peers:
@@ -170,24 +177,24 @@
             del self._hints[next(iter(self._hints))]
 
     def replace_control(self, control: Control) -> None:
-        """Take the timing of new settings; what is under way keeps its own."""
-        self._interval = control.probe_interval_ms / 1000
-        self._suspect = control.suspect_ms / 1000
-        self._table.suspect_s = self._suspect
+        """Apply the timing of new settings; probes under way keep their deadlines."""
+        self._interval_s = control.probe_interval_ms / 1000
+        self._suspect_s = control.suspect_ms / 1000
+        self._table.suspect_s = self._suspect_s
         self._probes.replace_timing(
-            interval_s=self._interval, timeout_s=control.probe_timeout_ms / 1000
+            interval_s=self._interval_s, timeout_s=control.probe_timeout_ms / 1000
         )
 
     def announce(
         self, *, documents: DocumentsDigest, settings_version: int, now: float
     ) -> list[Send]:
-        """Tell a few members at once which documents this host holds now."""
+        """Send the versions of this host's documents to a few members at once."""
         self.documents = documents
         self._table.own = replace(self.own, settings_version=settings_version)
-        return self._spread(now)
+        return self._gossip(now)
 
     def probe(self, name: str, *, now: float) -> list[Send]:
-        """Probe a member out of turn, as somebody has found it silent."""
+        """Probe a member out of turn, after another part got no answer from it."""
         member = self._roster.get(name)
         if member is None or not member.may_own or self.superseded:
             return []
@@ -196,156 +203,158 @@
         return [self._ping(name, member.peers, now, member.incarnation)]
 
     def leave(self, *, now: float) -> list[Send]:
-        """Tell that this host takes no new work; go on answering probes."""
+        """Announce that this host takes no new work; keep answering probes."""
         self._table.declare(MemberState.LEAVING, reported_by=self.own.name)
-        return self._spread(now)
+        return self._gossip(now)
 
     def depart(self, *, now: float) -> list[Send]:
-        """Tell that this process ends now, so that nobody needs to detect it."""
+        """Announce that this process ends now, so that no probe has to detect it."""
         self._table.declare(MemberState.DEAD, reported_by=self.own.name)
-        return self._spread(now)
+        return self._gossip(now)
 
     def receive(self, message: Message, *, sender: Address, now: float) -> list[Send]:
-        """Take a datagram in and return those to send because of it."""
+        """Process a received datagram and return the datagrams to send in response."""
         if self.superseded:
             return []
-        self._note_time(now)
+        self._detect_pause(now)
         source = message.source
         known = self._roster.get(source.name)
         if source.name == self.own.name:
             self._table.merge_own(source, reported_by=source.name)
             return []
         if known is not None and source.incarnation < known.incarnation:
-            # The process was replaced: what it says is out of date, and it is told
-            # so that it stops.
+            # The process was replaced. Its message is discarded, and it is sent the
+            # newer record so that it stops.
             self.n_old_incarnations += 1
-            return [self._tell(sender, known)]
-        self._wake_up(message)
+            return [self._build_gossip(sender, known)]
+        self._end_resync(message)
         self._table.merge(source, reported_by=source.name, now=now)
         sends = self._handle(message, sender, now)
-        self._follow_news(now)
+        self._process_updates(now)
         return sends
 
     def advance(self, *, now: float) -> list[Send]:
-        """Do whatever is due and return the datagrams to send."""
+        """Do all that is due and return the datagrams to send."""
         if self.superseded:
             return []
-        self._note_time(now)
+        self._detect_pause(now)
         sends = self._check_probes(now)
         self._table.confirm_suspicions(now=now)
-        self._join_alone(now)
+        self._join_without_peers(now)
         if now >= self._probe_at:
-            self._probe_at = now + self._interval
+            self._probe_at = now + self._interval_s
             sends += self._probe_next(now)
         if now >= self._retry_at:
             self._retry_at = now + self._retry_delay()
             self._roster.forget_dead(now=now)
-            sends += self._try_unknown(now)
+            sends += self._ping_unknown(now)
         if now >= self._sync_at:
             sends += self._sync(now)
-        self._follow_news(now)
-        if self._spread_at is not None and now >= self._spread_at:
-            sends += self._spread(now)
+        self._process_updates(now)
+        if self._gossip_at is not None and now >= self._gossip_at:
+            sends += self._gossip(now)
         return sends
 
     def _handle(self, message: Message, sender: Address, now: float) -> list[Send]:
         match message:
             case Ping():
-                self._merge_news(message, now)
-                return [self._answer(message, sender), *self._call_back(sender, now)]
+                self._merge_updates(message, now)
+                return [self._build_ack(message, sender), *self._ping_back(sender, now)]
             case Ack():
-                self._merge_news(message, now)
-                sends = self._accept(message, now)
-                return [*sends, *self._correct(message.source, sender)]
+                self._merge_updates(message, now)
+                sends = self._handle_ack(message, now)
+                return [*sends, *self._notify_accused(message.source, sender)]
             case Gossip():
                 order = self.own.order
-                self._merge_news(message, now)
-                refuted = [] if self.own.order == order else [self._tell(sender)]
-                return [*refuted, *self._correct(message.source, sender)]
+                self._merge_updates(message, now)
+                refuted = (
+                    [] if self.own.order == order else [self._build_gossip(sender)]
+                )
+                return [*refuted, *self._notify_accused(message.source, sender)]
             case ProbeRequest():
-                return self._relay(message, sender, now)
-            case Summary() if self._table.is_deaf and message.is_answer:
+                return self._relay_probe(message, sender, now)
+            case Summary() if self._table.ignores_gossip and message.is_answer:
                 return []
             case Summary():
-                return self._compare(message, sender, now)
+                return self._compare_summary(message, sender, now)
             case Table(source=source, members=members):
                 self._table.merge_table(members, reported_by=source.name, now=now)
                 return []
 
-    def _merge_news(self, message: Ping | Ack | Gossip, now: float) -> None:
+    def _merge_updates(self, message: Ping | Ack | Gossip, now: float) -> None:
         source = message.source
         self._table.merge_all(message.updates, reported_by=source.name, now=now)
         if message.documents.fingerprint != self.documents.fingerprint:
-            self._table.note_documents(source, message.documents)
+            self._table.record_documents(source, message.documents)
 
-    def _follow_news(self, now: float) -> None:
-        """Give newcomers their turn and plan to pass on what is new."""
+    def _process_updates(self, now: float) -> None:
+        """Queue new members for probing and schedule gossip about updates."""
         for name in self._table.newcomers:
             self._probes.add_turn(name, self._random)
         self._table.newcomers.clear()
         if self._table.has_refuted:
-            self._spread_at = now
-        elif self._table.has_fresh_news:
-            self._plan_spread(now)
+            self._gossip_at = now
+        elif self._table.has_new_updates:
+            self._schedule_gossip(now)
         self._table.has_refuted = False
-        self._table.has_fresh_news = False
+        self._table.has_new_updates = False
 
-    # Time.
+    # Timers and pauses.
 
-    def _note_time(self, now: float) -> None:
-        """Notice a pause of this process, in which silence proves nothing.
+    def _detect_pause(self, now: float) -> None:
+        """Detect a pause of this process, and restart the timers after one.
 
-        A process that was stopped for minutes finds all its timers expired. If it
-        acted on them it would declare everyone dead who answered while it slept.
+        After a pause of minutes all timers have expired. If it acted on them, the
+        process would declare dead all members that answered while it was paused.
         """
         if self._started_at is None:
             self._started_at = now
-            self._last_seen = now
+            self._last_call_at = now
             self._probe_at = now
             self._retry_at = now
-            self._sync_at = now + self._interval * _SYNC_SOON
-        self._table.may_restamp = now - self._started_at < JOIN_S
-        gap = now - self._last_seen
-        self._last_seen = now
-        if gap <= 2 * self._interval:
+            self._sync_at = now + self._interval_s * _SYNC_SOON_DELAY
+        self._table.may_raise_incarnation = now - self._started_at < RAISE_INCARNATION_S
+        gap = now - self._last_call_at
+        self._last_call_at = now
+        if gap <= 2 * self._interval_s:
             return
         self._probes.clear()
         self._table.restart_suspicions(now=now)
-        if gap > self._suspect:
-            self._table.doubt_all()
-            self._n_syncs_in_a_row = 0
+        if gap > self._suspect_s:
+            self._table.mark_stale_after_pause()
+            self._n_consecutive_syncs = 0
             self._probe_at = now
             self._retry_at = now
-            self._sync_at = now + self._interval * _SYNC_SOON
+            self._sync_at = now + self._interval_s * _SYNC_SOON_DELAY
 
-    def _wake_up(self, message: Message) -> None:
-        """After a pause, wait for the answer to a probe sent since.
+    def _end_resync(self, message: Message) -> None:
+        """Accept gossip again once a probe sent after a pause is answered.
 
-        What waited in the socket meanwhile is as old as the pause, and told on it
-        would be old gossip in a fleet that has forgotten its dead. The socket
-        gives datagrams in their order, so all of these come before that answer.
+        Datagrams that waited in the socket are as old as the pause. Passed on, they
+        would bring back members that the other hosts have already forgotten as dead.
+        The socket delivers in order, so all of these come before the answer.
         """
         if isinstance(message, Ack) and message.sequence in self._probes:
-            self._table.is_deaf = False
+            self._table.ignores_gossip = False
 
-    def _call_back(self, sender: Address, now: float) -> list[Send]:
-        """After a pause, ping whoever pings us, to hear something fresh.
+    def _ping_back(self, sender: Address, now: float) -> list[Send]:
+        """After a pause, ping any host that pings this one, to get current updates.
 
-        All whom this host knew may have been replaced while it slept.
+        All members known to this host may have been replaced during the pause.
         """
-        if not self._table.is_deaf or self._probes.is_trying(sender):
+        if not self._table.ignores_gossip or self._probes.is_trying(sender):
             return []
         return [self._ping("", sender, now)]
 
-    def _join_alone(self, now: float) -> None:
-        """Serve alone when no hint answers, as the first host of a fleet does."""
+    def _join_without_peers(self, now: float) -> None:
+        """Become ready alone when no hint answers, as the first host does."""
         waited = now - (now if self._started_at is None else self._started_at)
         alone = next(self._roster.members(), None) is None
-        if not self.joined and alone and waited >= _ALONE_PROBES * self._interval:
+        if not self.joined and alone and waited >= _ALONE_TIMEOUT * self._interval_s:
             self.joined = True
 
     def _retry_delay(self) -> float:
-        return self._interval * (_RETRY_PROBES if self.joined else 1)
+        return self._interval_s * (_RETRY_INTERVAL if self.joined else 1)
 
     # Probing.
 
@@ -369,7 +378,7 @@
             source=self.own,
             sequence=sequence,
             documents=self.documents,
-            updates=self._take_news(name),
+            updates=self._take_updates(name),
         )
         return Send(to=address, message=ping)
 
@@ -378,40 +387,43 @@
         for probe in self._probes.take_failed(now):
             suspect = self._table.suspect(probe.name, probe.incarnation, now=now)
             if suspect is not None:
-                # Told first, so that its refutation overtakes the suspicion.
-                sends.append(self._tell(suspect.peers, suspect))
+                # The suspect is sent its own suspicion first, so that its refutation
+                # overtakes the gossip.
+                sends.append(self._build_gossip(suspect.peers, suspect))
         for sequence, probe in self._probes.take_silent(now):
-            sends += self._ask_others(sequence, probe)
+            sends += self._request_probes(sequence, probe)
         return sends
 
-    def _ask_others(self, sequence: int, probe: Probe) -> list[Send]:
-        """Have others try, since only the way between the two may be cut."""
+    def _request_probes(self, sequence: int, probe: Probe) -> list[Send]:
+        """Ask other hosts to probe, since only the direct path may be cut."""
         target = self._roster.get(probe.name)
         if target is None:
             return []
         request = ProbeRequest(source=self.own, sequence=sequence, target=target)
-        others = self._choose_others(N_INDIRECT, without=probe.name)
+        others = self._choose_members(N_INDIRECT_PROBES, excluded=probe.name)
         again = self._build_ping(sequence, probe.name, probe.address)
         return [again, *(Send(to=other.peers, message=request) for other in others)]
 
-    def _relay(self, request: ProbeRequest, sender: Address, now: float) -> list[Send]:
+    def _relay_probe(
+        self, request: ProbeRequest, sender: Address, now: float
+    ) -> list[Send]:
         sequence = self._probes.start_relay(sender, request.sequence, now)
         if sequence is None:
             return []
         target = request.target
         return [self._build_ping(sequence, target.name, target.peers)]
 
-    def _answer(self, ping: Ping, sender: Address) -> Send:
+    def _build_ack(self, ping: Ping, sender: Address) -> Send:
         ack = Ack(
             source=self.own,
             sequence=ping.sequence,
             subject=None,
             documents=self.documents,
-            updates=self._take_news(ping.source.name),
+            updates=self._take_updates(ping.source.name),
         )
         return Send(to=sender, message=ack)
 
-    def _accept(self, ack: Ack, now: float) -> list[Send]:
+    def _handle_ack(self, ack: Ack, now: float) -> list[Send]:
         relay = self._probes.finish_relay(ack.sequence)
         if relay is not None:
             passed_on = Ack(
@@ -430,62 +442,62 @@
             return []
         if probe.name == "":
             return [] if self.joined else self._sync(now)
-        self._table.withdraw(subject.name)
+        self._table.drop_local_suspicion(subject.name)
         return []
 
-    # Telling.
+    # Sending updates.
 
-    def _take_news(self, receiver: str) -> tuple[Member, ...]:
-        first = self._table.get_accusation(receiver)
-        return self._table.news.take(len(self.live()), first)
+    def _take_updates(self, receiver: str) -> tuple[Member, ...]:
+        first = self._table.get_record_to_refute(receiver)
+        return self._table.updates_to_send.take(len(self.live()), first)
 
-    def _tell(self, to: Address, *members: Member) -> Send:
+    def _build_gossip(self, to: Address, *members: Member) -> Send:
         gossip = Gossip(source=self.own, documents=self.documents, updates=members)
         return Send(to=to, message=gossip)
 
-    def _correct(self, source: Member, sender: Address) -> list[Send]:
-        """Tell a member that is held dead or suspect so, for it to refute."""
-        known = self._table.get_accusation(source.name)
+    def _notify_accused(self, source: Member, sender: Address) -> list[Send]:
+        """Send a member the record that marks it suspect or dead, to be refuted."""
+        known = self._table.get_record_to_refute(source.name)
         if known is None:
             return []
-        return [self._tell(sender, known)]
+        return [self._build_gossip(sender, known)]
 
-    def _plan_spread(self, now: float) -> None:
-        soon = now + _SPREAD_DELAY * self._interval
-        spaced = self._last_spread + _SPREAD_SPACING * self._interval
+    def _schedule_gossip(self, now: float) -> None:
+        soon = now + _GOSSIP_DELAY * self._interval_s
+        spaced = self._last_gossip_at + _GOSSIP_SPACING * self._interval_s
         due = max(soon, spaced)
-        self._spread_at = due if self._spread_at is None else min(due, self._spread_at)
+        self._gossip_at = due if self._gossip_at is None else min(due, self._gossip_at)
 
-    def _spread(self, now: float) -> list[Send]:
-        self._spread_at = None
-        self._last_spread = now
+    def _gossip(self, now: float) -> list[Send]:
+        self._gossip_at = None
+        self._last_gossip_at = now
         sends = []
-        for other in self._choose_others(N_SPREAD, without=""):
+        for other in self._choose_members(GOSSIP_FANOUT, excluded=""):
             gossip = Gossip(
                 source=self.own,
                 documents=self.documents,
-                updates=self._take_news(other.name),
+                updates=self._take_updates(other.name),
             )
             sends.append(Send(to=other.peers, message=gossip))
         return sends
 
-    def _choose_others(self, n_wanted: int, *, without: str) -> list[Member]:
+    def _choose_members(self, n_wanted: int, *, excluded: str) -> list[Member]:
         others = [
             member
             for member in self._roster.members()
-            if member.name != without
+            if member.name != excluded
             and member.state is not MemberState.SUSPECT
             and not self._roster.is_stale(member.name)
         ]
         return self._random.sample(others, min(n_wanted, len(others)))
 
-    # Comparing tables.
+    # Anti-entropy: comparing tables.
 
-    def _try_unknown(self, now: float) -> list[Send]:
-        """Try one address that belongs to no live member: a hint or a dead one.
+    def _ping_unknown(self, now: float) -> list[Send]:
+        """Ping an address that belongs to no live member: a hint or a dead member's.
 
-        After a cut between regions each side holds the other dead and no probe
-        crosses; this is what finds the way back.
+        After a partition between regions each side has marked the other dead and sends
+        it no probes; these pings reconnect the two.
         """
         known = {member.peers for member in self._roster.members()}
         dead = self._roster.dead_since(now - RETRY_DEAD_S)
@@ -495,18 +507,20 @@
             for address in addresses
             if address not in known and not self._probes.is_trying(address)
         ]
-        n_tries = 1 if self.joined else N_INDIRECT
+        n_tries = 1 if self.joined else N_INDIRECT_PROBES
         chosen = self._random.sample(unknown, min(n_tries, len(unknown)))
         return [self._ping("", address, now) for address in chosen]
 
     def _sync(self, now: float) -> list[Send]:
-        """Send a summary to one other host, after a pause until one has answered."""
-        # A host that others greeted first has asked nobody for a table yet, and is
+        """Send a summary to one other host, and schedule the next one."""
+        # A host that was pinged by others first may have received no table yet, and is
         # not ready before it has one.
         is_urgent = not self.joined or self._roster.list_stale()
-        delay = 1.0 if is_urgent else _SYNC_PROBES
-        self._sync_at = now + self._interval * delay * self._random.uniform(0.75, 1.25)
-        others = self._choose_others(1, without="")
+        delay = 1.0 if is_urgent else _SYNC_INTERVAL
+        self._sync_at = now + self._interval_s * delay * self._random.uniform(
+            0.75, 1.25
+        )
+        others = self._choose_members(1, excluded="")
         return [Send(to=other.peers, message=self._summarise()) for other in others]
 
     def _summarise(
@@ -519,7 +533,9 @@
             buckets=self._roster.hash_buckets(self.own),
         )
 
-    def _compare(self, summary: Summary, sender: Address, now: float) -> list[Send]:
+    def _compare_summary(
+        self, summary: Summary, sender: Address, now: float
+    ) -> list[Send]:
         ours = self._roster.hash_buckets(self.own)
         theirs = summary.buckets
         differing = {
@@ -538,26 +554,26 @@
         if not truncated:
             self.joined = True
             if not differing:
-                self._table.bury_unconfirmed(now=now)
-        self._n_syncs_in_a_row += 1
+                self._table.declare_stale_dead(now=now)
+        self._n_consecutive_syncs += 1
         if not differing:
-            self._n_syncs_in_a_row = 0
-        elif self._n_syncs_in_a_row < _MAX_SYNCS_IN_A_ROW:
-            self._sync_at = now + self._interval * _SYNC_SOON
+            self._n_consecutive_syncs = 0
+        elif self._n_consecutive_syncs < _MAX_CONSECUTIVE_SYNCS:
+            self._sync_at = now + self._interval_s * _SYNC_SOON_DELAY
 
     def _send_tables(self, buckets: set[int], to: Address) -> tuple[list[Send], bool]:
         members = self._roster.list_buckets(buckets)
         self._random.shuffle(members)
         sends: list[Send] = []
-        while members and len(sends) < MAX_TABLES:
-            part = _take_part(members)
+        while members and len(sends) < MAX_TABLE_DATAGRAMS:
+            part = _take_table_part(members)
             sends.append(Send(to=to, message=Table(source=self.own, members=part)))
         return sends, bool(members)
 
 
-def _take_part(members: list[Member]) -> tuple[Member, ...]:
+def _take_table_part(members: list[Member]) -> tuple[Member, ...]:
     part: list[Member] = []
-    room = MAX_TABLE_BYTES
-    while members and (room := room - estimate_bytes(members[-1])) >= 0:
+    bytes_left = MAX_TABLE_BYTES
+    while members and (bytes_left := bytes_left - estimate_bytes(members[-1])) >= 0:
         part.append(members.pop())
     return tuple(part)
--- a/src/lavendergap/coordination/roster.py
+++ b/src/lavendergap/coordination/roster.py
@@ -1,4 +1,4 @@
-"""The table of members: merges what is heard and remembers the dead for a while."""
+"""The records of the other members: merging, hashing and expiry of the dead."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 from ..state.member import Member, MemberState
 
 N_BUCKETS = 64
-"""Into how many parts the table is hashed: 512 bytes of a datagram."""
+"""Into how many buckets the table is hashed; the hashes take 512 bytes."""
 
 TOMBSTONE_S = 86_400.0
-"""How long the dead are remembered: far beyond the life of any datagram."""
+"""How long dead members are remembered: far beyond the life of any datagram."""
 
 MAX_TOMBSTONES = 4_096
-"""Six days of 680 replacements a day, about a megabyte; the oldest go first."""
+"""Tombstones kept, about a megabyte; the oldest are dropped first."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -30,7 +30,7 @@
 
 
 def choose_bucket(name: str) -> int:
-    """Return the part of the table in which the member called `name` stands."""
+    """Return the bucket of the table that holds the member called `name`."""
     return xxh3_64_intdigest(name.encode()) % N_BUCKETS
 
 
@@ -38,16 +38,15 @@
     """The newest record of each other member, the dead included for a while.
 
     A record replaces another of the same name only if its order (incarnation,
-    refutations, state) is higher. So the dead notice of an earlier process never
-    kills the one that was started after it, and a record that was overtaken on
-    the way changes nothing.
+    refutations, state) is higher. So the record of an earlier process's death never
+    marks its successor dead, and a record that arrives late changes nothing.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
         self._died_at: dict[str, float] = {}
         self._buckets = [0] * N_BUCKETS
-        self._live: frozenset[str] | None = None
+        self._owner_names: frozenset[str] | None = None
 
     def get(self, name: str) -> Member | None:
         """Return the record of a member, dead or alive, or None."""
@@ -64,9 +63,9 @@
 
     def names_that_may_own(self) -> frozenset[str]:
         """Return the names of the members to which new work may go."""
-        if self._live is None:
-            self._live = frozenset(m.name for m in self.members() if m.may_own)
-        return self._live
+        if self._owner_names is None:
+            self._owner_names = frozenset(m.name for m in self.members() if m.may_own)
+        return self._owner_names
 
     def dead_since(self, earliest: float) -> list[Member]:
         """Return the records of those that died at `earliest` or later."""
@@ -77,7 +76,7 @@
         ]
 
     def merge(self, member: Member, *, now: float) -> bool:
-        """Take `member` in if it is newer than what is known; say whether it was."""
+        """Merge `member` and return whether it is newer than the known record."""
         entry = self._entries.get(member.name)
         if entry is None:
             self._put(member, now=now)
@@ -96,11 +95,11 @@
         return False
 
     def mark_all_stale(self) -> None:
-        """Doubt all records: this process slept while others went on.
+        """Mark all records stale, after a pause of this process.
 
-        A doubted record is told to nobody until it is heard again. Without this a
-        process that wakes after hours would bring back members whose tombstones
-        the others have dropped meanwhile.
+        A stale record is not sent to others until it has been received again. Otherwise
+        a process that resumes after hours would bring back members whose tombstones the
+        other hosts have dropped.
         """
         for entry in self._entries.values():
             if not entry.stale and entry.member.state is not MemberState.DEAD:
@@ -108,12 +107,12 @@
                 entry.stale = True
 
     def is_stale(self, name: str) -> bool:
-        """Whether the record of `name` has not been heard since a pause."""
+        """Whether the record of `name` has not been received since a pause."""
         entry = self._entries.get(name)
         return entry is not None and entry.stale
 
     def list_stale(self) -> list[Member]:
-        """Return the records that were not heard since a pause."""
+        """Return the records that have not been received since a pause."""
         return [entry.member for entry in self._entries.values() if entry.stale]
 
     def forget_dead(self, *, now: float) -> None:
@@ -128,15 +127,15 @@
     def hash_buckets(self, own: Member) -> tuple[int, ...]:
         """Return the hash of each bucket of the table with `own` added to it.
 
-        The dead are left out because hosts forget them at different times, which
-        must not make their tables differ.
+        Dead members are left out: hosts forget them at different times, and their
+        tables must not differ for that.
         """
         buckets = list(self._buckets)
         buckets[choose_bucket(own.name)] ^= _hash_member(own)
         return tuple(buckets)
 
     def list_buckets(self, buckets: set[int]) -> list[Member]:
-        """Return what stands in some buckets, the dead included."""
+        """Return the records in some buckets, dead ones included, stale ones not."""
         return [
             entry.member
             for name, entry in self._entries.items()
@@ -154,9 +153,9 @@
         if member.state is MemberState.DEAD:
             self._died_at[member.name] = now
         if old is None or old.member.may_own != member.may_own:
-            self._live = None
+            self._owner_names = None
 
     def _toggle(self, entry: _Entry) -> None:
-        """Take an entry into, or out of, the hash of its bucket."""
+        """Add an entry to the hash of its bucket, or remove it again."""
         if entry.member.state is not MemberState.DEAD:
             self._buckets[choose_bucket(entry.member.name)] ^= entry.digest
