--- a/src/lavendergap/coordination/issuer.py
+++ b/src/lavendergap/coordination/issuer.py
@@ -1,4 +1,4 @@
-"""The issuer of tickets: the one process that may run the requests they stand for."""
+"""The issuer of tickets: the one process that may run the requests of its tickets."""
 
 from dataclasses import dataclass, replace
 from hashlib import blake2b
@@ -67,12 +67,12 @@
 class Issuer:
     """Issues tickets and decides, once for each, whether its request runs.
 
-    One for each process. It does no I/O: the caller of these methods carries the
-    messages to the witness and runs the request when told `Run`. `now` is in
-    seconds on a clock that never goes back. `secret` is 16 to 64 random bytes made
-    for this process alone. At most `max_tickets` tickets of the last
-    `ticket_lifetime_ms` are held; beyond that no ticket is issued. Beyond
-    `max_body_bytes` of kept answers the oldest is dropped and becomes unknown.
+    Each process has one. It does no I/O: the caller of these methods carries the
+    messages to the witness and runs the request when `Run` is returned. `now` is in
+    seconds on a monotonic clock. `secret` is 16 to 64 random bytes made for this
+    process alone. At most `max_tickets` tickets of the last `ticket_lifetime_ms` are
+    held; at the limit no ticket is issued. When stored answers exceed `max_body_bytes`,
+    the oldest is dropped and its outcome becomes unknown.
 
     >>> from lavendergap.state.outcome import Answered
     >>> from lavendergap.state.ticket import Peer
@@ -80,7 +80,7 @@
     ...     peer=Peer(host="ptl-a-1", incarnation=7), secret=b"k" * 32,
     ...     max_tickets=100, ticket_lifetime_ms=600_000)
     >>> witness = Peer(host="sea-a-1", incarnation=9)
-    >>> opening = issuer.open(witness)  # Send it; the witness says `Kept`.
+    >>> opening = issuer.open(witness)  # Send it; the witness replies `Kept`.
     >>> issuer.confirm_open(witness)
     >>> ticket = issuer.issue(service="sponsor-ledger", witness=witness, now=0.0)
     >>> issuer.begin(ticket, body=b"{}", now=1.0) == RecordStarted(ticket=ticket)
@@ -106,7 +106,7 @@
         self.ticket_lifetime_ms = ticket_lifetime_ms
         self._secret = secret
         self._last_serial = 0
-        # In the order of `since`, so that what has expired stands in front.
+        # Ordered by `since`, so that expired records come first.
         self._records: dict[int, _Record] = {}
         self._unconfirmed: dict[int, None] = {}
         self._witnesses: dict[str, Peer] = {}
@@ -118,34 +118,34 @@
         return len(self._records)
 
     def open(self, witness: Peer) -> OpenIssuer:
-        """Return what makes this issuer known to a witness.
+        """Return the message that registers this issuer with a witness.
 
         Send it before the first ticket that names this witness; upon `Kept`, call
         `confirm_open`. Until then the witness refuses to record a start, and the
-        request would be "not run".
+        request's outcome would be "not run".
         """
         return OpenIssuer(issuer=self.peer, witness=witness, secret=self._secret)
 
     def confirm_open(self, witness: Peer) -> None:
-        """Note that a witness knows this issuer. A later life replaces a former."""
+        """Note that a witness, perhaps restarted, has registered this issuer."""
         self._witnesses[witness.host] = witness
 
     def is_open(self, witness: Peer) -> bool:
-        """Tell whether tickets may name this witness."""
+        """Return whether tickets may name this witness."""
         return self._witnesses.get(witness.host) == witness
 
     def issue(
         self, *, service: str, witness: Peer | None, now: float
     ) -> Ticket | NotRun:
-        """Return a new ticket, or why there is none at present.
+        """Return a new ticket, or the reason why none is issued.
 
-        Raises ValueError if a name cannot stand in a ticket.
+        Raises ValueError for a name that a ticket cannot contain.
         """
         self._drop_expired(now)
         if self._closed:
-            return self._decline(Reason.STOPPING)
+            return self._build_not_run(Reason.STOPPING)
         if len(self._records) >= self.max_tickets:
-            return self._decline(Reason.OVERLOADED, self._compute_wait_ms(now))
+            return self._build_not_run(Reason.OVERLOADED, self._compute_wait_ms(now))
         ticket = self._make_ticket(service, witness)
         self._records[ticket.serial] = _Unused(ticket=ticket, since=now)
         return ticket
@@ -153,10 +153,10 @@
     def begin(
         self, ticket: Ticket, *, body: bytes, now: float
     ) -> RecordStarted | Run | AlreadyRunning | Known | Refused:
-        """Take a request with its ticket, the first time or again.
+        """Handle a request with its ticket, the first time or a repeat.
 
-        After `RecordStarted`, give what the witness answered to `record`. A
-        repeat never runs; it shares the outcome of the first.
+        After `RecordStarted`, pass the reply of the witness to `record`. A repeat never
+        runs; it shares the outcome of the first.
         """
         problem = self._find_problem(ticket)
         if problem is not None:
@@ -165,7 +165,7 @@
         digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
         match self._records.get(ticket.serial):
             case None:
-                return Known(outcome=self._compute_expired())
+                return Known(outcome=self._build_expired())
             case _Unused():
                 return self._begin_first(ticket, digest, now)
             case _Recording() | _Running() | _Ended() as record if (
@@ -180,14 +180,14 @@
     def ask(
         self, ticket: Ticket, *, now: float
     ) -> NotBegun | AlreadyRunning | Known | Refused:
-        """Tell what has become of a ticket so far; begins nothing."""
+        """Return the present state of a ticket without starting its request."""
         problem = self._find_problem(ticket)
         if problem is not None:
             return Refused(reason=problem)
         self._drop_expired(now)
         match self._records.get(ticket.serial):
             case None:
-                return Known(outcome=self._compute_expired())
+                return Known(outcome=self._build_expired())
             case _Unused():
                 return NotBegun()
             case _Ended(outcome=outcome):
@@ -198,53 +198,55 @@
     def record(
         self, ticket: Ticket, reply: StartedReply
     ) -> Run | AlreadyRunning | Known:
-        """Take the witness's answer: `Run` upon the first `Ack`, else not run.
+        """Handle the witness's reply: `Run` upon the first `Ack`, else not run.
 
-        Without an `Ack` the witness may void the ticket and a caller be told "not
-        run" by any host. So the request must not run, now or ever: "not run" is
-        recorded here first, and an `Ack` that comes late finds it.
+        Without an `Ack` the witness may void the ticket, and any host may then answer
+        "not run". So the request must not run, now or later: "not run" is recorded here
+        first, and a late `Ack` finds that outcome.
         """
         record = self._records.get(ticket.serial)
         match record:
             case None:
-                return Known(outcome=self._compute_expired())
+                return Known(outcome=self._build_expired())
             case _Recording():
-                return self._settle_recording(record, reply)
+                return self._handle_start_reply(record, reply)
             case _Ended(outcome=outcome):
                 return Known(outcome=outcome)
             case _Running():
                 return AlreadyRunning()
             case _Unused():
-                raise ValueError(f"ticket {ticket.serial}: no request has begun")
+                raise ValueError(
+                    f"ticket {ticket.serial} has no request being recorded"
+                )
 
     def end(self, ticket: Ticket, outcome: Outcome) -> RecordEnded:
-        """Keep the outcome of a run for repeats; return what to tell the witness.
+        """Store the outcome of a run for repeats; return the message for the witness.
 
         A later outcome replaces an unknown one and no other. An outcome that comes
-        after its record has expired goes to the witness alone. Raises ValueError
-        for a ticket that has not run.
+        after its record has expired goes to the witness alone. Raises ValueError for a
+        ticket that has not run.
         """
         record = self._records.get(ticket.serial)
         match record:
             case _Running() | _Ended(outcome=Unknown()):
-                self._keep(record, outcome)
+                self._store_outcome(record, outcome)
                 return RecordEnded(ticket=ticket, outcome=outcome)
-            case _Ended(outcome=kept):
-                return RecordEnded(ticket=ticket, outcome=kept)
+            case _Ended(outcome=stored):
+                return RecordEnded(ticket=ticket, outcome=stored)
             case None:
                 return RecordEnded(ticket=ticket, outcome=outcome)
             case _:
                 raise ValueError(f"ticket {ticket.serial} has not run")
 
     def confirm(self, ticket: Ticket) -> None:
-        """Note that the witness has the outcome (or has forgotten the ticket)."""
+        """Note that the witness has the outcome, or has dropped the ticket."""
         self._unconfirmed.pop(ticket.serial, None)
 
     def get_unconfirmed(self, *, limit: int) -> tuple[RecordEnded, ...]:
         """Return up to `limit` outcomes that the witness has not confirmed.
 
-        Send them from time to time: a request that is given up because its witness
-        did not answer comes to the witness's record this way too.
+        Send them periodically: the outcome of a request that was given up because its
+        witness did not answer reaches the witness this way, too.
         """
         ended = (self._records[serial] for serial in islice(self._unconfirmed, limit))
         return tuple(
@@ -254,16 +256,16 @@
         )
 
     def hand_over(self) -> tuple[RecordEnded | CloseIssuer, ...]:
-        """Close for a planned stop; return what the witnesses must be told.
+        """Close for a planned stop; return the messages for the witnesses.
 
-        Call it when all that ran has ended. From then on nothing starts: unused
-        tickets and those still being recorded are "not run", here and, through
+        Call it when all running requests have ended. From then on nothing starts:
+        unused tickets and those still being recorded are "not run", here and, through
         `CloseIssuer`, at each witness.
         """
         self._closed = True
         for record in list(self._records.values()):
             if isinstance(record, _Recording):
-                self._keep(record, self._decline(Reason.STOPPING))
+                self._store_outcome(record, self._build_not_run(Reason.STOPPING))
         closings = tuple(
             CloseIssuer(issuer=self.peer, witness=witness)
             for witness in self._witnesses.values()
@@ -273,13 +275,13 @@
     def _begin_first(
         self, ticket: Ticket, digest: bytes, now: float
     ) -> RecordStarted | Run | Known:
-        # Set anew, not in place: the record moves behind all older ones.
+        # Deleted and set again: the record moves behind all older ones.
         del self._records[ticket.serial]
         recording = _Recording(ticket=ticket, since=now, digest=digest)
         self._records[ticket.serial] = recording
         if self._closed:
-            outcome = self._decline(Reason.STOPPING)
-            self._keep(recording, outcome)
+            outcome = self._build_not_run(Reason.STOPPING)
+            self._store_outcome(recording, outcome)
             return Known(outcome=outcome)
         if ticket.witness is None:
             return self._run(recording)
@@ -291,7 +293,9 @@
         )
         return Run(ticket=record.ticket)
 
-    def _settle_recording(self, record: _Recording, reply: StartedReply) -> Run | Known:
+    def _handle_start_reply(
+        self, record: _Recording, reply: StartedReply
+    ) -> Run | Known:
         match reply:
             case Ack():
                 return self._run(record)
@@ -304,10 +308,10 @@
         witness = record.ticket.witness
         peer = self.peer.host if witness is None else witness.host
         outcome = NotRun(step=Step.RECORD, peer=peer, reason=reason)
-        self._keep(record, outcome)
+        self._store_outcome(record, outcome)
         return Known(outcome=outcome)
 
-    def _keep(self, record: _Begun, outcome: Outcome) -> None:
+    def _store_outcome(self, record: _Begun, outcome: Outcome) -> None:
         serial = record.ticket.serial
         self._set_outcome(record, outcome)
         if record.ticket.witness is not None:
@@ -315,7 +319,7 @@
         for dropped in self._bodies.add(serial, outcome):
             ended = self._records[dropped]
             if isinstance(ended, _Ended):
-                self._set_outcome(ended, self._compute_expired())
+                self._set_outcome(ended, self._build_expired())
                 self._unconfirmed.pop(dropped, None)
 
     def _set_outcome(self, record: _Begun, outcome: Outcome) -> None:
@@ -339,7 +343,7 @@
             names.append(witness.host)
         for name in names:
             if not is_ticket_name(name):
-                raise ValueError(f"name {name!r} cannot stand in a ticket")
+                raise ValueError(f"name {name!r} is not allowed in a ticket")
         self._last_serial += 1
         unsigned = Ticket(
             service=service,
@@ -359,7 +363,7 @@
             del self._records[serial]
             match record:
                 case _Recording() | _Running():
-                    # What may still run keeps its record, however old it is.
+                    # A request that may still run keeps its record, whatever its age.
                     self._records[serial] = replace(record, since=now)
                 case _:
                     self._unconfirmed.pop(serial, None)
@@ -371,11 +375,11 @@
             return 0
         return max(0, self.ticket_lifetime_ms - int((now - oldest.since) * 1000))
 
-    def _compute_expired(self) -> Unknown:
-        """A genuine ticket without a record: it may have run before it was dropped."""
+    def _build_expired(self) -> Unknown:
+        """Return "unknown" for a genuine ticket without a record: it may have run."""
         return Unknown(step=Step.RECORD, peer=self.peer.host, reason=Reason.EXPIRED)
 
-    def _decline(self, reason: Reason, retry_after_ms: int = 0) -> NotRun:
+    def _build_not_run(self, reason: Reason, retry_after_ms: int = 0) -> NotRun:
         return NotRun(
             step=Step.RECORD,
             peer=self.peer.host,
--- a/src/lavendergap/coordination/ranking.py
+++ b/src/lavendergap/coordination/ranking.py
@@ -1,4 +1,4 @@
-"""Which host owns a key: rendezvous hashing, alike on every host without talk."""
+"""Which host owns a key: rendezvous hashing, without coordination between hosts."""
 
 from collections.abc import Iterable
 from heapq import nlargest
@@ -6,9 +6,9 @@
 from xxhash import xxh3_64_intdigest
 
 RANKING_DEPTH = 4
-"""How many hosts a `Ranking` keeps for each key: the owner and who takes over."""
+"""How many hosts a `Ranking` keeps for each key: the owner and its successors."""
 
-_MIN_KEPT = 2
+_MIN_RANKED = 2
 
 
 def score_host(key: str, host: str) -> int:
@@ -19,8 +19,8 @@
 def rank_hosts(key: str, hosts: Iterable[str]) -> list[str]:
     """Return `hosts` in the order in which they own `key`, the owner first.
 
-    All hosts that know the same set agree, and when one leaves only its own keys
-    move, each to the host that was ranked next:
+    Hosts with the same set of live hosts compute the same order. When a host leaves,
+    only the keys that it owned move, each to the next host in its order:
 
     >>> hosts = ["ptl-a-1", "ptl-a-2", "sea-a-1"]
     >>> ranked = rank_hosts("scheduler-00", hosts)
@@ -40,11 +40,11 @@
 
 
 class Ranking:
-    """The first hosts of each key for one set of live hosts, remembered.
+    """The first hosts of each key for one set of live hosts, cached.
 
-    A query asks for 85 keys, so the answer has to be a look-up. When the set
-    changes, `replace_hosts` gives a new ranking that keeps what still holds: a
-    host that leaves is struck out, and one that joins costs one hash for each key.
+    A query ranks all of its shards, so `rank` has to be a look-up. When the set
+    changes, `replace_hosts` returns a new ranking that keeps the valid entries: a host
+    that leaves is removed, and one that joins costs one hash for each key.
 
     >>> ranking = Ranking(hosts=frozenset({"ptl-a-1", "ptl-a-2"}))
     >>> sorted(ranking.rank("scheduler-00"))
@@ -64,48 +64,48 @@
         if ranked is None:
             scored = [(score_host(key, host), host) for host in self.hosts]
             scored = nlargest(RANKING_DEPTH, scored)
-            ranked = self._keep(key, tuple(scored[:RANKING_DEPTH]))
+            ranked = self._store(key, tuple(scored[:RANKING_DEPTH]))
         return ranked
 
     def replace_hosts(self, hosts: frozenset[str]) -> "Ranking":
-        """Return the ranking for another set of hosts; this one stays as it is."""
+        """Return the ranking for another set of hosts; this one is unchanged."""
         if hosts == self.hosts:
             return self
         ranking = Ranking(hosts=hosts)
         joined = hosts - self.hosts
         if 2 * len(joined) >= len(hosts):
-            # Nothing is worth carrying over, as when a fleet is met at joining.
+            # With this many new hosts, as at joining, the cached entries save nothing.
             return ranking
         ranking._scored = self._scored.copy()
         ranking._ranked = self._ranked.copy()
-        ranking._strike_out(self.hosts - hosts)
+        ranking._remove_hosts(self.hosts - hosts)
         for host in joined:
-            ranking._insert(host)
+            ranking._insert_host(host)
         return ranking
 
-    def _strike_out(self, gone: frozenset[str]) -> None:
-        n_wanted = min(_MIN_KEPT, len(self.hosts))
-        for key, ranked in list(self._ranked.items()) if gone else ():
-            if gone.isdisjoint(ranked):
+    def _remove_hosts(self, removed: frozenset[str]) -> None:
+        n_wanted = min(_MIN_RANKED, len(self.hosts))
+        for key, ranked in list(self._ranked.items()) if removed else ():
+            if removed.isdisjoint(ranked):
                 continue
-            kept = tuple(e for e in self._scored[key] if e[1] not in gone)
+            kept = tuple(e for e in self._scored[key] if e[1] not in removed)
             if len(kept) >= n_wanted:
-                self._keep(key, kept)
+                self._store(key, kept)
             else:
                 del self._scored[key], self._ranked[key]
 
-    def _insert(self, host: str) -> None:
-        """Give a host that joined its place in each key where it has one.
+    def _insert_host(self, host: str) -> None:
+        """Insert a host that joined into the kept ranking of each key.
 
-        What is kept are the first hosts of the key, without a gap: a newcomer that
-        comes before the last of these has a known place, another has none.
+        The kept hosts are the first of the key without a gap: a new host that ranks
+        before the last of these is inserted, and any other is left out.
         """
         for key, scored in self._scored.items():
             entry = (score_host(key, host), host)
             if entry > scored[-1]:
-                self._keep(key, tuple(nlargest(RANKING_DEPTH, (*scored, entry))))
+                self._store(key, tuple(nlargest(RANKING_DEPTH, (*scored, entry))))
 
-    def _keep(self, key: str, scored: tuple[tuple[int, str], ...]) -> tuple[str, ...]:
+    def _store(self, key: str, scored: tuple[tuple[int, str], ...]) -> tuple[str, ...]:
         self._scored[key] = scored
         ranked = tuple(host for _, host in scored)
         self._ranked[key] = ranked
--- a/src/lavendergap/coordination/resolution.py
+++ b/src/lavendergap/coordination/resolution.py
@@ -1,4 +1,4 @@
-"""What any host answers about a ticket, from its issuer's word or its witness's."""
+"""Answers about a ticket at any host, from the reply of its issuer or witness."""
 
 from dataclasses import dataclass
 
@@ -20,15 +20,15 @@
     WitnessLost,
 )
 
-# An issuer that was cut off or paused is asked again after this long.
+# How long a caller waits before it asks again after an issuer cut off or paused.
 ASK_AGAIN_MS = 2_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Settled:
-    """What to tell the caller. An unknown outcome may become known later.
+    """The outcome to return to the caller; an unknown one may become known later.
 
-    `ask_again_ms` says after how long to ask again, and is 0 for a final outcome.
+    `ask_again_ms` is the time after which to ask again, and 0 for a final outcome.
     """
 
     outcome: Outcome
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Pending:
-    """The issuer lives and has no outcome yet."""
+    """The issuer is reachable and has no outcome yet."""
 
     begun: bool
     ask_again_ms: int = ASK_AGAIN_MS
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rejected:
-    """The ticket is refused by its issuer or witness; nothing ran."""
+    """The ticket was refused by its issuer or witness; nothing ran."""
 
     reason: TicketProblem
 
@@ -53,10 +53,10 @@
 def resolve_by_issuer(
     ticket: Ticket, reply: IssuerReply
 ) -> Settled | Pending | Rejected | VoidTicket:
-    """Return what the issuer's word settles, or the question for the witness.
+    """Return the result from the issuer's reply, or the message for the witness.
 
-    The witness is asked to void the ticket only when the issuer cannot speak: a
-    later process on its host, or no answer.
+    The witness is asked to void the ticket only when the issuer cannot answer: its host
+    runs a later process, or does not reply.
 
     >>> from lavendergap.state.ticket import parse_ticket
     >>> ticket = parse_ticket("1~ledger~ptl-a-1~7~1~sea-a-1~9~0123456789abcdef")
@@ -74,17 +74,17 @@
             return Pending(begun=False)
         case Refused(reason=TicketProblem.OTHER_ISSUER) | IssuerLost():
             if ticket.witness is None:
-                return settle(_doubt(ticket.issuer.host, Reason.ISSUER_LOST))
+                return settle(_build_unknown(ticket.issuer.host, Reason.ISSUER_LOST))
             return VoidTicket(ticket=ticket)
         case Refused(reason=reason):
             return Rejected(reason=reason)
 
 
 def resolve_by_witness(ticket: Ticket, reply: VoidReply) -> Settled | Rejected:
-    """Return what the witness's word settles.
+    """Return the result from the witness's reply.
 
-    Only `Voided` proves that the request never runs. All else that has no outcome
-    is unknown, and stays so until its issuer or witness can tell.
+    Only `Voided` proves that the request never runs. Any other reply without an outcome
+    gives "unknown", until the issuer or witness reports an outcome.
     """
     witness = "" if ticket.witness is None else ticket.witness.host
     match reply:
@@ -94,18 +94,18 @@
             )
             return settle(void)
         case Started(outcome=outcome):
-            lost = _doubt(ticket.issuer.host, Reason.ISSUER_LOST)
+            lost = _build_unknown(ticket.issuer.host, Reason.ISSUER_LOST)
             return settle(lost if outcome is None else outcome)
         case Refused(reason=reason):
             return Rejected(reason=reason)
         case Forgotten():
-            return settle(_doubt(witness, Reason.EXPIRED))
+            return settle(_build_unknown(witness, Reason.EXPIRED))
         case WitnessLost():
-            return settle(_doubt(witness, Reason.WITNESS_LOST))
+            return settle(_build_unknown(witness, Reason.WITNESS_LOST))
 
 
 def settle(outcome: Outcome) -> Settled:
-    """Return the outcome with the time after which asking again may help."""
+    """Return the outcome with the time after which to ask again."""
     match outcome:
         case Unknown():
             return Settled(outcome=outcome, ask_again_ms=ASK_AGAIN_MS)
@@ -113,5 +113,5 @@
             return Settled(outcome=outcome)
 
 
-def _doubt(peer: str, reason: Reason) -> Unknown:
+def _build_unknown(peer: str, reason: Reason) -> Unknown:
     return Unknown(step=Step.RECORD, peer=peer, reason=reason)
--- a/src/lavendergap/coordination/witness.py
+++ b/src/lavendergap/coordination/witness.py
@@ -1,4 +1,4 @@
-"""The witness of tickets: it records what another process starts, or voids it."""
+"""The witness of tickets: it records them as started by their issuer, or voids them."""
 
 from dataclasses import dataclass, field
 
@@ -46,7 +46,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class _IssuerState:
-    """What is held about one incarnation of an issuer."""
+    """What is held about one incarnation of an issuer.
+
+    `floor` is the highest serial whose record was dropped.
+    """
 
     secret: bytes
     floor: int = 0
@@ -55,13 +58,12 @@
 
 
 class Witness:
-    """Says of each ticket "started" or "void", never both, in one memory.
+    """Records each ticket as either started or void, never both.
 
-    One for each process. "Started" and "void" exclude each other because both are
-    decided here, by one process that handles one message at a time. At most
-    `max_tickets` records, of the last `ticket_lifetime_ms`, are held, of at most
-    `max_issuers` issuers, with `max_body_bytes` of answers. `now` is in seconds on
-    a clock that never goes back.
+    Each process has one. "Started" and "void" exclude each other because one process
+    decides both and handles one message at a time. At most `max_tickets` records, of
+    the last `ticket_lifetime_ms`, are held, of at most `max_issuers` issuers, with
+    `max_body_bytes` of answers. `now` is in seconds on a monotonic clock.
 
     >>> from lavendergap.coordination.issuer import Issuer
     >>> from lavendergap.state.ticket import Peer
@@ -92,9 +94,9 @@
         self.max_tickets = max_tickets
         self.ticket_lifetime_ms = ticket_lifetime_ms
         self.max_issuers = max_issuers
-        # In the order of `since`, so that what has expired stands in front.
+        # Ordered by `since`, so that expired records come first.
         self._records: dict[Ticket, _Record] = {}
-        # The one not heard of for longest stands in front.
+        # Ordered by the last message, the least recent first.
         self._issuers: dict[Peer, _IssuerState] = {}
         self._dropped_incarnation = -1
         self._bodies = KeptBodies[Ticket](max_bytes=max_body_bytes)
@@ -106,7 +108,7 @@
     def answer(
         self, request: WitnessRequest, *, now: float
     ) -> StartedReply | VoidReply | KeptReply:
-        """Answer any request that comes over the channel between hosts."""
+        """Handle any request received over the channel between hosts."""
         match request:
             case OpenIssuer():
                 return self.open(request, now=now)
@@ -163,7 +165,7 @@
                 return Voided()
 
     def end(self, ticket: Ticket, outcome: Outcome, *, now: float) -> KeptReply:
-        """Keep the outcome of a started ticket, for those who ask after it.
+        """Store the outcome of a started ticket, for callers that ask for it.
 
         A later outcome replaces an unknown one and no other.
         """
@@ -173,27 +175,27 @@
         match self._records.get(ticket):
             case _StartedRecord(since=since, outcome=None | Unknown()):
                 self._records[ticket] = _StartedRecord(since=since, outcome=outcome)
-                self._count_body(ticket, outcome)
+                self._store_body(ticket, outcome)
             case _StartedRecord() | _VoidRecord():
                 pass
             case None if ticket.serial <= state.floor:
                 return Forgotten()
             case None:
-                # Given up by its issuer before the record of its start came here.
+                # The issuer gave up the request before the record of its start arrived.
                 record = _StartedRecord(since=now, outcome=outcome)
                 self._add(ticket, record, state)
-                self._count_body(ticket, outcome)
+                self._store_body(ticket, outcome)
         return Kept()
 
     def open(self, opening: OpenIssuer, *, now: float) -> KeptReply:
-        """Hold a new issuer, or refuse one as old as any that was dropped."""
+        """Register an issuer, unless it is no newer than one that was dropped."""
         if opening.witness != self.peer:
             return Forgotten()
         if opening.issuer in self._issuers:
             return Kept()
-        # An `OpenIssuer` that comes late, or twice, must not bring back an issuer
-        # whose records were dropped: a voided ticket of it could then start. Its
-        # incarnation is at or below the greatest dropped one, so it is refused.
+        # A late or repeated `OpenIssuer` must not register an issuer again whose
+        # records were dropped: a voided ticket of it could then start. Its incarnation
+        # is at or below the highest dropped one, so it is refused.
         if opening.issuer.incarnation <= self._dropped_incarnation:
             return Forgotten()
         if len(self._issuers) >= self.max_issuers:
@@ -202,7 +204,7 @@
         return Kept()
 
     def close(self, closing: CloseIssuer, *, now: float) -> KeptReply:
-        """Take a stopping issuer's word that what has not started never will."""
+        """Note that a stopping issuer starts no further tickets."""
         if closing.witness != self.peer:
             return Forgotten()
         state = self._issuers.get(closing.issuer)
@@ -214,9 +216,9 @@
     def _find_state(
         self, ticket: Ticket, now: float
     ) -> _IssuerState | Forgotten | Refused:
-        # A restarted host keeps its name but none of its records. Without this
-        # check it would void a ticket that its former life had seen started, and a
-        # caller would be told "not run" of a booking that ran.
+        # A restarted host keeps its name but none of its records. Without this check it
+        # would void a ticket that its former process recorded as started, and a caller
+        # would get "not run" for a booking that ran.
         if ticket.witness != self.peer:
             return Forgotten()
         self._drop_expired(now)
@@ -229,7 +231,7 @@
         return state
 
     def _drop_issuer(self) -> None:
-        # The one not heard of for longest goes. New processes are still taken in,
+        # The least recently active issuer is dropped. New processes are still accepted,
         # because incarnations grow with the time of start.
         issuer = next(iter(self._issuers))
         state = self._issuers.pop(issuer)
@@ -238,7 +240,7 @@
             self._bodies.discard(ticket)
         self._dropped_incarnation = max(self._dropped_incarnation, issuer.incarnation)
 
-    def _count_body(self, ticket: Ticket, outcome: Outcome) -> None:
+    def _store_body(self, ticket: Ticket, outcome: Outcome) -> None:
         for dropped in self._bodies.add(ticket, outcome):
             since = self._records[dropped].since
             self._records[dropped] = _StartedRecord(since=since)
@@ -258,9 +260,9 @@
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        # What is at or below the floor and has no record is `Forgotten`: a dropped
-        # "started" is never called void, and a dropped "void" never starts. Serials
-        # only grow, so the tickets in use lie above the floor.
+        # A ticket at or below the floor without a record is `Forgotten`: a dropped
+        # "started" is never reported void, and a dropped "void" never starts. Serials
+        # only grow, so the tickets in use are above the floor.
         ticket = next(iter(self._records))
         del self._records[ticket]
         self._bodies.discard(ticket)
