--- a/src/lavendergap/coordination/__init__.py
+++ b/src/lavendergap/coordination/__init__.py
@@ -1,17 +1,16 @@
-"""Decisions that hosts take together, as parts without I/O that others can embed.
+"""Coordination between hosts, as objects without I/O that can be embedded elsewhere.
 
-Each part is a plain object: events and the present time go in, typed messages and
-verdicts come out. Nothing here opens a socket, reads a clock or draws from the
-global random generator, so that a test or a model walks the very steps that the
-daemon takes. Times are seconds of one monotonic clock, passed in as `now`.
+Events and the present time are passed in; typed messages and decisions are returned. No
+object opens a socket, reads a clock or uses the global random generator, so that tests
+and models run the same code as the daemon. Times are seconds of one monotonic clock,
+passed in as `now`.
 
-`Membership` keeps who is live and `Ranking` who owns a key; `Documents` keeps the
-newest version of each document; `Issuer` and `Witness` run a request at most once;
-`GroupScheduler` runs calls on a group of replicas. The class of each has an example.
-What they take and return that is not here stands in `lavendergap.state`: `settings`
-(`Address`, `Control`, `Group`, `Service`), `member`, `gossip`, `ticket` (`Peer` and
-the messages between issuer and witness) and `outcome` (`Answered`, `NotRun`,
-`Unknown`).
+`Membership` tracks the live hosts and `Ranking` the owner of each key; `Documents`
+holds the newest version of each document; `Issuer` and `Witness` run a request at most
+once; `GroupScheduler` runs calls on a group of replicas. Each class has an example.
+Other types of their parameters and results are in `lavendergap.state`: `settings`
+(`Address`, `Control`, `Group`, `Service`), `member`, `gossip`, `ticket` (`Peer` and the
+messages between issuer and witness) and `outcome` (`Answered`, `NotRun`, `Unknown`).
 """
 
 import importlib
@@ -46,10 +45,9 @@
     from .watchers import draw_read_delay as draw_read_delay
     from .witness import Witness as Witness
 
-# A gateway host needs a third of these modules, and hosts start in hundreds at the
-# moment when power returns: each module costs all of them some milliseconds of
-# processor time, before the first caller is answered. So a name is imported when it is
-# first used.
+# Names are imported when they are first used: a gateway host needs few of these
+# modules, and each import delays its first answer, most of all when many hosts start at
+# once after a power failure.
 _MODULES = {
     "Budget": "budget",
     "AttemptEnded": "calls",
--- a/src/lavendergap/coordination/advertisers.py
+++ b/src/lavendergap/coordination/advertisers.py
@@ -1,4 +1,4 @@
-"""Which hosts advertised a newer version of a document, to be asked one by one."""
+"""Hosts that advertised a newer version of a document, to be asked one by one."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 
 class Advertisers:
-    """The hosts that advertised something newer, each asked once for it.
+    """The hosts that advertised a newer version, each to be asked once for it.
 
     >>> advertisers = Advertisers()
     >>> advertisers.note("ptl-a-1", FetchDocument(name="index/scheduler", at_least=7))
@@ -29,17 +29,17 @@
         self._versions: dict[str, dict[str, int]] = {}
 
     def note(self, host: str, want: FetchDocument) -> None:
-        """Note that `host` has what is wanted."""
+        """Record that `host` has the wanted version."""
         self._versions.setdefault(want.name, {})[host] = want.at_least
 
     def forget(self, name: str) -> None:
-        """Drop what was advertised of `name`."""
+        """Drop the hosts recorded for `name`."""
         self._versions.pop(name, None)
 
     def take(self, name: str, held: int) -> Advertiser | None:
-        """Return whom to ask next for `name` beyond version `held`, the newest first.
+        """Remove and return the host with the newest version of `name`, or None.
 
-        Those who have nothing newer are dropped.
+        Hosts that have no version newer than `held` are dropped.
         """
         versions = self._versions.pop(name, {})
         newer = {host: at for host, at in versions.items() if at > held}
--- a/src/lavendergap/coordination/catalog.py
+++ b/src/lavendergap/coordination/catalog.py
@@ -1,4 +1,4 @@
-"""The groups of backend servers in force: from the routes and from the registry."""
+"""The groups of backend servers in force, built from the routes and the registry."""
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
@@ -8,25 +8,24 @@
 from ..state.settings import ExtraCalls, Group, Server, Service, WaitForCoverage
 from .warmup import WarmupBound
 
-# What a group's servers accept where no route's document says it.
+# Connections that each server of a group accepts if the routes set no number.
 DEFAULT_CONNECTIONS = 16
-# Owners of one group at a time, beside one for each data centre of its servers: a
-# host that takes over while another still finishes what it has.
+# Owners of a group beyond one for each data centre of its servers: a host that takes
+# over while the previous owner finishes its calls.
 N_SPARE_OWNERS = 1
-# A queue longer than this is all refused by its deadline whatever the servers' speed.
+# A longer queue would be refused by its deadline, however fast the servers are.
 QUEUE_LIMIT = 64
-# A call is hedged once it takes longer than this share of the group's calls. Extra
-# calls are allowed for a fifth of all and some more: twice as many stragglers as a
-# server's pauses make (4 in 100) find a token.
+# A call is hedged once it takes longer than this quantile of the group's calls. It
+# leaves enough of the extra calls for the stragglers that pauses of servers cause.
 HEDGE_QUANTILE = 0.85
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExtraCallBudget:
-    """What the platform allows beyond the first call of each request, for a group.
+    """How many calls beyond the first of each request the platform allows for a group.
 
-    In each window of `window_s` seconds all hosts together may send `share` times
-    the requests plus `slack` extra calls to one group.
+    In each window of `window_s` seconds all hosts together may send `share` times the
+    requests plus `slack` extra calls to one group.
     """
 
     share: float
@@ -34,11 +33,11 @@
     window_s: float
 
     def divide(self, n_owners: int) -> ExtraCalls:
-        """Return one owner's part of the slack; the share counts its own requests.
+        """Return one owner's part of the slack; the share applies to its own requests.
 
-        Half of the part may be spent at once and half comes with time, so that the
-        two together stay within it in any window. Of each half, hedges get two
-        thirds and retries one.
+        Half of the part is a burst that may be spent at once, and half is refilled over
+        the window, so that both together stay within the part in any window. Of each
+        half, hedges get two thirds and retries one.
         """
         half = self.slack / n_owners / 2
         return ExtraCalls(
@@ -51,8 +50,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Terms:
-    """All that a group's service is made of: equal terms make equal services."""
+class _ServiceInputs:
+    """All inputs of a group's service: equal inputs give equal services."""
 
     members: tuple[RegisteredServer, ...]
     budget: ExtraCallBudget
@@ -65,17 +64,17 @@
 class Catalog:
     """All groups with their servers, and the data centres of each shard's servers.
 
-    `sets` are the shards that the queries of some route ask together, `named` all
-    groups that `table` names. `terms` are what each service was made of, for the next
-    catalog.
+    `sets` are the shards that the queries of a route ask together, `named_groups` all
+    groups that `table` names. `service_inputs` holds the inputs of each service, to
+    compare with those of the next catalog.
     """
 
     table: RouteTable
-    named: frozenset[str]
+    named_groups: frozenset[str]
     services: tuple[Service, ...]
     places: Mapping[str, frozenset[str]]
     sets: tuple[tuple[str, ...], ...]
-    terms: Mapping[str, _Terms]
+    service_inputs: Mapping[str, _ServiceInputs]
 
 
 def build_catalog(
@@ -90,28 +89,29 @@
 ) -> Catalog:
     """Return the groups that the routes name, or that have servers.
 
-    Servers that leave, or stand in an evacuated data centre, are left out: they get
-    nothing new. A group without servers stays, so that calls to it are refused with
-    that as the reason.
+    Servers that are draining, or in an evacuated data centre, are omitted and get no
+    new calls. A group without servers stays, so that calls to it are refused with that
+    as the reason.
 
-    What has not changed since the catalog `before` is taken from it. A host that
-    joins changes the few groups whose connections all hosts share, and a server one
-    group; made anew each time, 131 groups took 2.4 ms for each of the 195 hosts that
-    each of 195 hosts meets when they start together (`python -m lab.memberchanges`).
+    Services whose inputs are equal in the catalog `before` are taken from it. A change
+    of the hosts or of one server affects few groups, and building all of them for each
+    host that joins would be slow when all hosts start together.
     """
     if before is not None and before.table is table:
-        named, sets = before.named, before.sets
+        named_groups, sets = before.named_groups, before.sets
     else:
-        named, sets = _list_groups(table), _list_sets(table)
-    serving: dict[str, list[RegisteredServer]] = {group: [] for group in named}
+        named_groups, sets = _list_groups(table), _list_sets(table)
+    serving: dict[str, list[RegisteredServer]] = {group: [] for group in named_groups}
     for server in servers:
         if not server.is_draining and server.data_centre not in evacuated:
             serving.setdefault(server.group, []).append(server)
     shards = {group for groups in sets for group in groups}
-    made = {} if before is None else {each.name: each for each in before.services}
+    previous_services = (
+        {} if before is None else {each.name: each for each in before.services}
+    )
     services = []
     places = {}
-    all_terms = {}
+    all_inputs = {}
     for group, members in serving.items():
         data_centres = frozenset(member.data_centre for member in members)
         n_owners = n_hosts + N_SPARE_OWNERS
@@ -119,7 +119,7 @@
             n_owners = min(n_owners, len(data_centres) + N_SPARE_OWNERS)
             places[group] = data_centres
         connections = table.connections.get(group, DEFAULT_CONNECTIONS)
-        terms = _Terms(
+        service_inputs = _ServiceInputs(
             members=tuple(sorted(members, key=lambda member: member.server_id)),
             budget=budget,
             n_owners=n_owners,
@@ -130,32 +130,38 @@
                 else None
             ),
         )
-        is_same = before is not None and before.terms.get(group) == terms
-        services.append(made[group] if is_same else _make_service(group, terms))
-        all_terms[group] = terms
+        is_same = (
+            before is not None and before.service_inputs.get(group) == service_inputs
+        )
+        services.append(
+            previous_services[group]
+            if is_same
+            else _make_service(group, service_inputs)
+        )
+        all_inputs[group] = service_inputs
     return Catalog(
         table=table,
-        named=named,
+        named_groups=named_groups,
         services=tuple(services),
         places=places,
         sets=sets,
-        terms=all_terms,
+        service_inputs=all_inputs,
     )
 
 
-def _make_service(group: str, terms: _Terms) -> Service:
-    budget = terms.budget
+def _make_service(group: str, service_inputs: _ServiceInputs) -> Service:
+    budget = service_inputs.budget
     servers = tuple(
         Server(
             name=member.server_id,
             address=member.address,
             data_centre=member.data_centre,
             slots=member.slots,
-            connections=terms.n_connections,
+            connections=service_inputs.n_connections,
             incarnation=member.started_at_ms,
-            cold_limit=terms.cold_limit if member.is_cold else None,
+            cold_limit=service_inputs.cold_limit if member.is_cold else None,
         )
-        for member in terms.members
+        for member in service_inputs.members
     )
     return Service(
         name=group,
@@ -169,7 +175,7 @@
         queue_limit=QUEUE_LIMIT,
         max_body_bytes=0,
         weight=1.0,
-        extra=budget.divide(terms.n_owners),
+        extra=budget.divide(service_inputs.n_owners),
     )
 
 
--- a/src/lavendergap/coordination/contents.py
+++ b/src/lavendergap/coordination/contents.py
@@ -1,4 +1,4 @@
-"""What a request asks for, as one short id that repeats of it share."""
+"""Short ids of the content of requests, equal for repeats of a request."""
 
 import hashlib
 
@@ -10,11 +10,12 @@
 
 
 def identify_content(request: ForwardedRequest, body: bytes) -> str:
-    """Return the id of what a request asks for: 32 hexadecimal digits.
+    """Return the id of the content of a request: 32 hexadecimal digits.
 
-    A caller's repeat comes under a new attempt id, at another host, perhaps with other
-    headers; what a server does for it depends on these four. The hash is cryptographic,
-    so that nobody can make a request that passes for another caller's.
+    A caller's repeat has a new attempt id, may have other headers and may reach another
+    host. The id depends only on what determines the server's work: method, host, target
+    and body. The hash is cryptographic, so that nobody can construct a request with the
+    id of another caller's.
 
     >>> first = ForwardedRequest(
     ...     method=b"GET", target=b"/a", attempt=b"1", headers=((b"host", b"x"),))
@@ -27,12 +28,12 @@
     """
     host = dict(request.headers).get(HOST_HEADER, b"").lower()
     fields = (request.method, host, request.target, body)
-    # With their lengths, so that no two requests are alike by where a field ends.
+    # The lengths keep fields with shifted boundaries from giving equal texts.
     text = b"".join(b"%d:%s" % (len(field), field) for field in fields)
     return hashlib.blake2b(text, digest_size=CONTENT_ID_BYTES).hexdigest()
 
 
 def identify_attempt(request: ForwardedRequest) -> str:
-    """Return a short name of one caller's attempt, for use beside its content's id."""
+    """Return a short id of one caller's attempt, for use with the id of its content."""
     hashed = hashlib.blake2b(request.attempt, digest_size=ATTEMPT_ID_BYTES)
     return hashed.hexdigest()
--- a/src/lavendergap/coordination/documents.py
+++ b/src/lavendergap/coordination/documents.py
@@ -1,4 +1,4 @@
-"""The newest known version of each document, from whatever source it comes."""
+"""The newest known version of each document, whatever its source."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 from ..state.member import DocumentsDigest, DocumentVersion
 
 MAX_DIGEST_BYTES = 400
-"""Room for the listed versions in one datagram."""
+"""Space for the listed versions in one datagram."""
 
-_BYTES_FOR_EACH = 24
-_WORD = 8
+_ENTRY_BYTES = 24
+_LENGTH_BYTES = 8
 
 Checker = Callable[[str, bytes], str | None]
 """Given a document's name and body, returns why it can't be used, or None."""
@@ -27,7 +27,7 @@
 
 
 class IgnoredReason(StrEnum):
-    """Why an offered version was not put in force."""
+    """Why an offered version was ignored."""
 
     OLDER = "older"
     SAME = "same"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ignored:
-    """Nothing changed. `detail` is the checker's word on a refused body."""
+    """Nothing changed. `detail` is the message of the checker for a refused body."""
 
     name: str
     version: int
@@ -82,10 +82,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Comparison:
-    """What another host's digest says against ours.
+    """The differences between another host's digest and this host's documents.
 
-    `complete` is False when the two differ in documents that the digest had no
-    room to list; then the full list is to be asked for.
+    `complete` is False when they differ only in documents that the digest had no space
+    to list; then the full list has to be requested.
     """
 
     wanted: tuple[FetchDocument, ...]
@@ -94,7 +94,7 @@
 
 
 class Documents:
-    """The documents in force at one host; versions only ever grow.
+    """The documents in force at one host; versions only increase.
 
     >>> documents = Documents(check=lambda name, body: None)
     >>> documents.offer("index/scheduler", 7, b"{}", Source.PLATFORM)
@@ -116,11 +116,11 @@
         return self._documents.get(name)
 
     def problems(self) -> tuple[Problem, ...]:
-        """Return the refused versions that nothing newer has replaced yet."""
+        """Return the refused versions for which no newer one has been accepted."""
         return tuple(self._problems.values())
 
     def versions(self) -> tuple[DocumentVersion, ...]:
-        """Return all documents in force, the last changed first."""
+        """Return the versions of all documents in force, the newest first."""
         newest_first = sorted(
             self._documents.values(), key=lambda d: (d.version, d.name), reverse=True
         )
@@ -132,23 +132,22 @@
     def offer(
         self, name: str, version: int, body: bytes, source: Source
     ) -> Accepted | Ignored:
-        """Put a version in force if it is newer than all that is known of it.
+        """Put a version in force if it is newer than all accepted or refused before.
 
-        The source does not matter: a platform that answers with a stale replica
-        and a peer that woke from a pause are refused alike, since either would
-        take an accepted edit back.
+        This holds for every source: a platform that answers from a stale replica and a
+        peer that resumes after a pause would otherwise revert an accepted edit.
         """
-        if (known := self._newest_seen(name)) >= version:
-            return self._ignore_old(name, version, known)
-        if (complaint := self._check(name, body)) is not None:
+        if (newest_seen := self._newest_seen(name)) >= version:
+            return self._build_ignored(name, version, newest_seen)
+        if (problem := self._check(name, body)) is not None:
             self._problems[name] = Problem(
-                name=name, version=version, reason=complaint, source=source
+                name=name, version=version, reason=problem, source=source
             )
             return Ignored(
                 name=name,
                 version=version,
                 reason=IgnoredReason.REFUSED,
-                detail=complaint,
+                detail=problem,
             )
         self._documents[name] = Document(
             name=name, version=version, body=body, source=source
@@ -158,13 +157,13 @@
         return Accepted(name=name, version=version)
 
     def digest(self) -> DocumentsDigest:
-        """Return what to tell other hosts with each datagram."""
+        """Return the digest to send with each datagram."""
         if self._digest is None:
             self._digest = _summarise(self.versions())
         return self._digest
 
     def compare(self, digest: DocumentsDigest) -> Comparison:
-        """Return what to fetch from the host that sent `digest`, and what it lacks.
+        """Return what to fetch from the sender of `digest`, and what to offer to it.
 
         A version that was refused here is not fetched again; a newer one is.
         """
@@ -177,7 +176,7 @@
             if theirs.version > self._newest_seen(theirs.name)
         )
         known = {theirs.name: theirs.version for theirs in digest.newest}
-        # What a truncated digest leaves out is older than all that it lists.
+        # Versions omitted from a truncated digest are older than all that it lists.
         floor = min((d.version for d in digest.newest), default=-1)
         floor = floor if digest.truncated else -1
         offered = tuple(
@@ -195,7 +194,7 @@
             document.version if document else -1, problem.version if problem else -1
         )
 
-    def _ignore_old(self, name: str, version: int, known: int) -> Ignored:
+    def _build_ignored(self, name: str, version: int, newest_seen: int) -> Ignored:
         problem = self._problems.get(name)
         if problem is not None and problem.version == version:
             return Ignored(
@@ -204,7 +203,7 @@
                 reason=IgnoredReason.REFUSED,
                 detail=problem.reason,
             )
-        reason = IgnoredReason.SAME if known == version else IgnoredReason.OLDER
+        reason = IgnoredReason.SAME if newest_seen == version else IgnoredReason.OLDER
         return Ignored(name=name, version=version, reason=reason)
 
 
@@ -214,7 +213,7 @@
     newest = []
     for entry in versions:
         fingerprint ^= xxh3_64_intdigest(f"{entry.name}\0{entry.version}".encode())
-        n_bytes += _BYTES_FOR_EACH + len(entry.name.encode()) + _WORD
+        n_bytes += _ENTRY_BYTES + len(entry.name.encode()) + _LENGTH_BYTES
         if n_bytes <= MAX_DIGEST_BYTES:
             newest.append(entry)
     return DocumentsDigest(
--- a/src/lavendergap/coordination/feeds.py
+++ b/src/lavendergap/coordination/feeds.py
@@ -1,4 +1,4 @@
-"""One host's copy of a feed, and what it makes of entries that vanish."""
+"""One host's copy of a feed, and its handling of entries that lapse."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 
@@ -7,29 +7,28 @@
 from ..state.feeds import FeedChange, FeedChanges, FeedEntry, FeedListing
 
 N_BUCKETS = 64
-"""Into how many buckets entries are dealt by name, for hosts to compare their copies.
+"""Into how many buckets entries are hashed by name, to compare the copies of hosts.
 
-Their hashes take some 600 bytes. Where one server of some hundred has changed, a
-sixty-fourth of the entries is sent.
+With more buckets fewer entries are sent for a difference, but more bytes of hashes.
 """
 
-# Returns what of an entry matters here; entries alike in that are as good as the same.
+# Returns the part of an entry that matters; entries equal in it count as equal.
 Summarize = Callable[[str, bytes], object]
 
 
 def use_whole(name: str, body: bytes) -> object:
-    """Return the whole entry: for feeds of which everything matters."""
+    """Return the whole body, for feeds in which every change matters."""
     return body
 
 
 class FeedCopy:
-    """The entries of a feed at a revision; it never goes back to an older one.
+    """The entries of a feed at a revision, which never decreases.
 
-    Servers keep their entries alive through the store. While the store is away they
-    cannot, entries lapse that are no proof of anything, and a server that lives is
-    back within `lapse_grace` seconds of the store's return. So for that long after a
-    return, an entry that vanishes is kept: dropped at once, every server would be
-    out of use after each outage, and all callers refused.
+    Servers renew their entries in the store. During an outage of the store they cannot,
+    so the entries of live servers lapse; these servers register again within
+    `lapse_grace` seconds of the store's return. So an entry that vanishes within that
+    time is kept until its end. Removed at once, all servers would be out of use after
+    each outage, and all callers refused.
 
     >>> from lavendergap.state.feeds import FeedChange, FeedEntry
     >>> copy = FeedCopy(lapse_grace=2.2)
@@ -50,10 +49,10 @@
         self._summarize = summarize
         self._hashes: dict[str, int] = {}
         self._buckets = [0] * N_BUCKETS
-        self._combined = 0
+        self._fingerprint = 0
         self._entries: dict[str, bytes] = {}
-        self._returned_at = float("-inf")
-        self._lapsed: dict[str, float] = {}
+        self._store_returned_at = float("-inf")
+        self._lapse_ends: dict[str, float] = {}
 
     @property
     def entries(self) -> Mapping[str, bytes]:
@@ -62,16 +61,16 @@
 
     @property
     def fingerprint(self) -> int:
-        """A hash of what matters of all entries; kept lapsed ones are left out.
+        """A hash of what matters of all entries, except lapsed ones still kept.
 
-        Two copies with the same one say the same, at whatever revisions they were
-        read: the store's revision moves with everything that is written to it.
+        Copies with equal fingerprints have equal content, even at different revisions:
+        any write to the store changes its revision.
         """
-        return self._combined
+        return self._fingerprint
 
     @property
     def bucket_hashes(self) -> tuple[int, ...]:
-        """The fingerprint of each bucket by itself."""
+        """The fingerprint of each bucket."""
         return tuple(self._buckets)
 
     def find_differing(self, hashes: Sequence[int]) -> frozenset[int]:
@@ -80,17 +79,17 @@
         return frozenset(index for index, (own, other) in pairs if own != other)
 
     def select(self, buckets: Collection[int]) -> tuple[FeedEntry, ...]:
-        """Return the entries of some buckets; kept lapsed ones are left out."""
+        """Return the entries of some buckets, except lapsed ones still kept."""
         return tuple(
             FeedEntry(name=name, body=body)
             for name, body in self._entries.items()
-            if name not in self._lapsed and get_bucket(name) in buckets
+            if name not in self._lapse_ends and get_bucket(name) in buckets
         )
 
     def foresee(self, changes: Iterable[FeedChange]) -> int:
-        """Return the fingerprint that the copy would have with `changes`."""
+        """Return the fingerprint that the copy would have after `changes`."""
         hashes = self._hashes
-        fingerprint = self._combined
+        fingerprint = self._fingerprint
         for change in {change.name: change for change in changes}.values():
             fingerprint ^= hashes.get(change.name, 0)
             if change.body is not None:
@@ -98,15 +97,15 @@
         return fingerprint
 
     def adopt(self, revision: int) -> None:
-        """Go on from a newer revision at which the feed is known to be as it is here.
+        """Set a newer revision at which the feed is known to equal this copy.
 
-        Only on the proof of equal fingerprints, not on an empty watch's word.
+        Equal fingerprints show that; an empty reply to a watch does not.
         """
         self.revision = max(self.revision, revision)
 
     def note_return(self, *, now: float) -> None:
-        """Note that the store answers again after it did not."""
-        self._returned_at = now
+        """Record the time at which the store answers again after an outage."""
+        self._store_returned_at = now
 
     def take_listing(
         self,
@@ -115,9 +114,9 @@
         now: float,
         buckets: Collection[int] | None = None,
     ) -> bool:
-        """Take all entries at a revision; tell whether anything changed.
+        """Apply a listing of all entries; return whether the entries in force changed.
 
-        With `buckets` the listing holds all entries of these, and the others stay.
+        With `buckets` the listing covers only these, and the entries of others stay.
         """
         if listing.revision < self.revision:
             return False
@@ -133,13 +132,13 @@
         return has_changed
 
     def take_changes(self, changes: FeedChanges, *, now: float) -> bool:
-        """Take what a watch told; tell whether anything changed.
+        """Apply the changes reported by a watch; return whether the entries changed.
 
-        A watch without news does not move the revision. While the store drops its
-        history, watches hear nothing although changes are made: taken at its word,
-        such an answer would skip them for good, and a server that began to leave then
-        would get work until its end. From the older revision the next watch either
-        tells them or says that the history is gone.
+        An empty reply does not advance the revision. While the store compacts its
+        history, watches may return empty replies although there were changes. Advancing
+        would skip these for good, and a server that is leaving would get work until it
+        ends. From the older revision the next watch returns them or reports that the
+        history is gone.
         """
         if changes.revision < self.revision or not changes.changes:
             return False
@@ -153,43 +152,43 @@
         return has_changed
 
     def settle(self, *, now: float) -> bool:
-        """Drop the lapsed entries whose time is up; tell whether any was."""
-        due = [name for name, until in self._lapsed.items() if until <= now]
+        """Drop the lapsed entries whose time has passed; return whether any was."""
+        due = [name for name, until in self._lapse_ends.items() if until <= now]
         for name in due:
-            del self._lapsed[name]
+            del self._lapse_ends[name]
             self._entries.pop(name, None)
         return bool(due)
 
     def is_news(self, change: FeedChange) -> bool:
-        """Tell whether a change makes a difference that matters.
+        """Return whether a change alters the fingerprint.
 
-        An entry that is back is one however it looks: others keep it for a while
-        only, and would drop a living server for good.
+        The return of a lapsed entry does, even if its body is the same: other hosts
+        keep the entry for a while only, and would then drop a live server for good.
         """
-        return self.foresee((change,)) != self._combined
+        return self.foresee((change,)) != self._fingerprint
 
     @property
     def next_due(self) -> float | None:
         """The time at which `settle` has something to do, or None."""
-        return min(self._lapsed.values(), default=None)
+        return min(self._lapse_ends.values(), default=None)
 
     def _put(self, name: str, body: bytes) -> bool:
-        was_lapsing = self._lapsed.pop(name, None) is not None
-        if self._entries.get(name) == body and not was_lapsing:
+        had_lapsed = self._lapse_ends.pop(name, None) is not None
+        if self._entries.get(name) == body and not had_lapsed:
             return False
-        self._note_hash(name, body)
+        self._update_hash(name, body)
         if self._entries.get(name) == body:
             return False
         self._entries[name] = body
         return True
 
     def _remove(self, name: str, now: float) -> bool:
-        self._note_hash(name, None)
-        until = self._returned_at + self._lapse_grace
+        self._update_hash(name, None)
+        until = self._store_returned_at + self._lapse_grace
         if now < until:
-            self._lapsed.setdefault(name, until)
+            self._lapse_ends.setdefault(name, until)
             return False
-        self._lapsed.pop(name, None)
+        self._lapse_ends.pop(name, None)
         return self._entries.pop(name, None) is not None
 
     def _hash(self, name: str, body: bytes) -> int:
@@ -199,13 +198,13 @@
             summary = body
         return xxh3_64_intdigest(f"{name}\0{summary!r}".encode())
 
-    def _note_hash(self, name: str, body: bytes | None) -> None:
+    def _update_hash(self, name: str, body: bytes | None) -> None:
         before = self._hashes.pop(name, 0)
         after = 0
         if body is not None:
             after = self._hashes[name] = self._hash(name, body)
         self._buckets[get_bucket(name)] ^= before ^ after
-        self._combined ^= before ^ after
+        self._fingerprint ^= before ^ after
 
 
 def get_bucket(name: str) -> int:
--- a/src/lavendergap/coordination/joining.py
+++ b/src/lavendergap/coordination/joining.py
@@ -1,4 +1,4 @@
-"""Joining the shards' answers into one answer, and when to stop waiting for more."""
+"""Joins the shards' answers into one answer, and decides when to stop waiting."""
 
 from dataclasses import dataclass
 from statistics import median
@@ -21,15 +21,15 @@
 )
 from ..state.snapshot import Shard, Snapshot
 
-# Sums of shares such as 20 times 0.05 fall short of 1 by rounding.
+# Sums of shares, such as 20 times 0.05, may fall short of 1 by rounding.
 ROUNDING = 1e-9
-# A median of a few microseconds must not make the patience vanish altogether.
-SHORTEST_PATIENCE = 0.002
+# Lower bound of the wait for stragglers, in seconds, when answers take microseconds.
+MIN_PATIENCE_S = 0.002
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardBody:
-    """What one shard answered."""
+    """The answer of one shard."""
 
     shard: str
     body: bytes
@@ -38,9 +38,9 @@
 class Join:
     """The answers to one query, which is pinned to one snapshot.
 
-    `started` and `deadline` are in seconds on the loop's clock. Each shard counts
-    once, with its first outcome; coverage is computed from answers alone, so it can
-    not claim a shard whose answer did not come.
+    `started` and `deadline` are in seconds on the event loop's clock. Each shard counts
+    once, with its first outcome. Coverage is computed from received answers only, so it
+    never includes a shard whose answer did not arrive.
 
     >>> shards = tuple(Shard(name=n, group=n, share=0.5) for n in ("s0", "s1"))
     >>> join = Join(
@@ -68,7 +68,7 @@
         "_pending",
         "_answers",
         "_missing",
-        "_times",
+        "_answer_times",
         "_share",
         "_lost_share",
         "_give_up_at",
@@ -92,47 +92,47 @@
         self._pending: dict[str, Shard] = {s.name: s for s in snapshot.shards}
         self._answers: dict[str, bytes] = {}
         self._missing: dict[str, Missing] = {}
-        self._times: list[float] = []
+        self._answer_times: list[float] = []
         self._share = 0.0
         self._lost_share = 0.0
         self._give_up_at: float | None = None
 
     def add(self, shard: str, outcome: Outcome, server: str, *, now: float) -> None:
-        """Take the outcome of one shard's call.
+        """Add the outcome of one shard's call.
 
-        An outcome for a shard that was not asked, or has one already, or that comes
-        when the query is done, is counted in `n_ignored` and changes nothing: what
-        was said of the coverage must stay true.
+        An outcome for a shard that was not asked or already has one, or that arrives
+        when the query is done, only increments `n_ignored`: the reported coverage must
+        stay true.
         """
         if self.is_done or shard not in self._pending:
             self.n_ignored += 1
             return
-        known = self._pending.pop(shard)
-        self._lost_share += known.share
+        pending_shard = self._pending.pop(shard)
+        self._lost_share += pending_shard.share
         match outcome:
             case Answered(body=body):
                 self._answers[shard] = body
-                self._share += known.share
-                self._lost_share -= known.share
-                self._times.append(now - self.started)
+                self._share += pending_shard.share
+                self._lost_share -= pending_shard.share
+                self._answer_times.append(now - self.started)
             case NotRun(step=step, peer=peer, reason=reason):
-                self._miss(shard, reason, step, peer or server)
+                self._record_missing(shard, reason, step, peer or server)
                 if reason is Reason.VERSION_GONE:
-                    self._start_over()
+                    self._require_newer_snapshot()
             case Unknown(step=step, peer=peer, reason=reason):
-                self._miss(shard, reason, step, peer or server)
+                self._record_missing(shard, reason, step, peer or server)
         if not self._pending:
             self.is_done = True
-        self._plan(now)
+        self._update_give_up_time(now)
 
     def advance(self, *, now: float) -> None:
-        """Stop waiting if the patience or the deadline has passed."""
+        """Stop waiting if the wait for stragglers or the deadline has passed."""
         wake = self.next_wake()
         if wake is not None and wake <= now:
             self.is_done = True
 
     def next_wake(self) -> float | None:
-        """Return the time to call `advance` at, or None when the query is done."""
+        """Return when to call `advance` next, or None when the query is done."""
         if self.is_done:
             return None
         if self._give_up_at is None:
@@ -140,15 +140,15 @@
         return min(self.deadline, self._give_up_at)
 
     def give_up(self) -> list[str]:
-        """Return the shards still out, whose calls are to be cancelled.
+        """Stop waiting and return the stragglers, whose calls are to be cancelled.
 
-        The query is done from here on, and they count as stragglers.
+        These are the shards without an outcome.
         """
         self.is_done = True
         return list(self._pending)
 
     def coverage(self) -> Coverage:
-        """Return what the answers so far cover of the snapshot."""
+        """Return how much of the snapshot the answers cover so far."""
         missing = [
             self._missing.get(shard.name) or self._make_straggler(shard)
             for shard in self.snapshot.shards
@@ -169,7 +169,9 @@
             if shard.name in self._answers
         ]
 
-    def _miss(self, shard: str, reason: Reason, step: Step, peer: str) -> None:
+    def _record_missing(
+        self, shard: str, reason: Reason, step: Step, peer: str
+    ) -> None:
         self._missing[shard] = Missing(shard=shard, reason=reason, step=step, peer=peer)
 
     def _make_straggler(self, shard: Shard) -> Missing:
@@ -180,24 +182,24 @@
             peer=shard.group,
         )
 
-    def _start_over(self) -> None:
-        # The shard is at another version now, and an answer that mixed versions
-        # would show a booking twice or not at all. The caller of this part starts
-        # again with another snapshot if there is time, else says "not covered".
+    def _require_newer_snapshot(self) -> None:
+        # The shard no longer serves this version, and an answer that mixed versions
+        # could contain a record twice or not at all. The caller restarts the query with
+        # another snapshot if time allows, else it reports the shard as not covered.
         self.needs_newer_snapshot = True
 
-    def _plan(self, now: float) -> None:
+    def _update_give_up_time(self, now: float) -> None:
         match self.policy:
             case GiveUpStragglers(min_share=min_share, patience=patience):
                 if self._give_up_at is None and self._share + ROUNDING >= min_share:
-                    wait = max(SHORTEST_PATIENCE, patience * median(self._times))
+                    wait = max(MIN_PATIENCE_S, patience * median(self._answer_times))
                     self._give_up_at = now + wait
             case AnswerByGoal(min_share=min_share, goal_ms=goal_ms):
                 if self._share + ROUNDING >= min_share:
                     self._give_up_at = max(now, self.started + goal_ms / 1_000)
                 elif self._lost_share > 1.0 - min_share + ROUNDING:
-                    # What is left cannot make up for what is lost: the caller is
-                    # told so now, and not at its deadline.
+                    # The remaining shards cannot reach `min_share`, so the caller gets
+                    # the answer now and not at its deadline.
                     self.is_done = True
             case WaitForCoverage():
                 pass
--- a/src/lavendergap/coordination/pinning.py
+++ b/src/lavendergap/coordination/pinning.py
@@ -4,18 +4,17 @@
 
 from ..state.snapshot import Published, Snapshot
 
-# A newly published version is withheld for at most this long from shards that have
-# not been heard to serve it. Answers report every version that a server has, so at
-# any load they tell sooner; a shard that nobody asks must not hold back the library.
-PUBLICATION_GRACE = 1.0
-# A version that a shard did not have yet is tried again after this time, at the cost
-# of one query that starts over.
-NOT_YET_MEMORY = 1.0
+# How long a new version is withheld while a shard has not reported that it serves it.
+# Answers report all versions of a server, so this limit matters only for a shard that
+# gets no calls, which must not hold back new versions.
+PUBLICATION_GRACE_S = 1.0
+# How long until a newer version that a shard refused is tried again.
+REFUSAL_RETRY_S = 1.0
 
 
 @dataclass(slots=True)
 class ShardVersions:
-    """What is known of the versions that one shard serves.
+    """The known versions of one shard.
 
     `refused_at` holds the times at which all replicas of the shard refused a version.
     """
@@ -27,10 +26,10 @@
 class Pinning:
     """Chooses the snapshot for each new query of one service.
 
-    A query is pinned when it starts and keeps its snapshot to the end. Pinning a
-    version too early costs a second round within the deadline, and pinning one too
-    late costs freshness; so the newest version is chosen as soon as no shard is
-    known to lack it. See docs/design/snapshots.md.
+    A query is pinned when it starts and keeps its snapshot to the end. A version pinned
+    too early costs a second round within the deadline, and one pinned too late costs
+    freshness; so the newest version is chosen as soon as no shard is known to lack it.
+    See docs/design/snapshots.md.
 
     >>> from lavendergap.state.snapshot import Shard
     >>> old, new = (
@@ -57,12 +56,13 @@
 
     def __init__(self, *, published: Published) -> None:
         self.published = published
-        # Versions that were there at the start are as old as can be for all we know.
+        # Versions present at the start have no entry: they may have been published long
+        # ago.
         self._published_at: dict[int, float] = {}
         self._known: dict[str, ShardVersions] = {}
 
     def replace(self, published: Published, *, now: float) -> None:
-        """Take a newer list of snapshots; an older one, come late, is ignored."""
+        """Set a newer list of snapshots; an older one that arrives late is ignored."""
         if published.object_version <= self.published.object_version:
             return
         before = {snapshot.version for snapshot in self.published.snapshots}
@@ -73,7 +73,7 @@
         self._forget(versions)
 
     def observe(self, *, shard: str, versions: tuple[int, ...], now: float) -> None:
-        """Take the versions that an answer of this shard says its server has."""
+        """Record the versions that a server of this shard reported with an answer."""
         if not versions:
             return
         known = self._get_known(shard)
@@ -82,7 +82,7 @@
             known.refused_at.pop(version, None)
 
     def mark_gone(self, *, shard: str, version: int, now: float) -> None:
-        """Remember that no replica of this shard served a version."""
+        """Record that no replica of this shard served a version."""
         known = self._get_known(shard)
         known.refused_at[version] = now
         known.served -= {version}
@@ -90,8 +90,8 @@
     def choose(self, *, now: float) -> Snapshot:
         """Return the snapshot for a new query.
 
-        When every published snapshot is known to lack a shard, the one that lacks
-        the fewest is chosen, and the answer's coverage will say what is missing.
+        If every published snapshot is known to lack a shard, the one that lacks the
+        fewest is chosen, and the coverage of the answer lists the missing shards.
         """
         best = self.published.newest
         fewest = len(best.shards) + 1
@@ -120,14 +120,15 @@
         newest_served = max(known.served, default=0)
         refused_at = known.refused_at.get(version)
         if refused_at is not None:
-            # A version older than one that the shard serves does not come back; a
-            # newer one may be about to be loaded.
-            return version < newest_served or now < refused_at + NOT_YET_MEMORY
+            # A version older than one that the shard serves does not come back; a newer
+            # one may be loaded soon.
+            return version < newest_served or now < refused_at + REFUSAL_RETRY_S
         if version < newest_served:
-            # One replica's report does not speak for the others: let the owner try.
+            # Other replicas than the one that reported may still have it, so the owner
+            # tries them.
             return False
         published_at = self._published_at.get(version)
-        return published_at is not None and now < published_at + PUBLICATION_GRACE
+        return published_at is not None and now < published_at + PUBLICATION_GRACE_S
 
     def _get_known(self, shard: str) -> ShardVersions:
         known = self._known.get(shard)
@@ -137,7 +138,7 @@
         return known
 
     def _forget(self, versions: set[int]) -> None:
-        """Drop what concerns versions and shards that are published no longer."""
+        """Drop the records of versions and shards that are no longer published."""
         shards = {s.name for snap in self.published.snapshots for s in snap.shards}
         self._known = {n: k for n, k in self._known.items() if n in shards}
         for known in self._known.values():
--- a/src/lavendergap/coordination/quarantine.py
+++ b/src/lavendergap/coordination/quarantine.py
@@ -1,42 +1,43 @@
-"""Which requests are kept from backend servers, since servers end under them.
+"""Which requests are held back because backend servers crash while they run them.
 
-A request that makes the server that runs it crash is known as a query of death. Sent
-to all shards it takes a server of each, sent again it takes the others, and each repeat
-of its caller does the same at another host.
+A request that crashes the server that runs it is known as a query of death. Sent to all
+shards it crashes one server of each; retries crash further servers, and each repeat of
+its caller does the same at another host.
 
-A server that ends takes all that it runs with it, and most of that is innocent. So one
-strike is a suspicion and no more: the next request of that content goes to a single
-server first (a canary request, as in Dean and Barroso, "The Tail at Scale"). What is
-innocent is answered, and the strikes go. Only what has ended that server, too, is held.
+A server that crashes fails all requests that it runs, and most of these are not the
+cause. So one strike only makes a request's content suspect: the next request with the
+same content goes to a single server first (a canary request, as in Dean and Barroso,
+"The Tail at Scale"). If that server answers, the strikes are dropped. If it crashes
+too, the content is held.
 """
 
 from collections.abc import Iterable
 
 from ..state.quarantine import Standing, Strike
 
-HOLD_TIME = 600.0
-"""Seconds for which a content is held back after a trial under which a server ended.
+HOLD_S = 600.0
+"""How long a content is held after a server crashed during its canary request.
 
-About what it takes to mend the servers' software or to withdraw the request. After it
-one server is tried again, so that nothing is held back for ever.
+Long enough to fix the servers' software or withdraw the request. Then one server is
+tried again, so that no content is held for ever.
 """
 
-MEMORY = 3_600.0
-"""Seconds for which a strike makes a content suspect.
+STRIKE_LIFETIME_S = 3_600.0
+"""How long a strike makes a content suspect.
 
-Much longer than the hold: forgotten with it, a request that comes all day would end a
-server of each shard every ten minutes, and not a single one.
+Much longer than the hold: if strikes expired with it, a request that is repeated all
+day would crash a server of each shard after each hold, and not a single server.
 """
 
 MAX_STRIKES = 2_000
-"""Strikes that are kept at most, some 0.5 MB; beyond it new ones are not taken."""
+"""Strikes kept, to bound memory; at the limit new ones are ignored."""
 
 
 class Quarantine:
-    """The strikes of the whole fleet, as far as this host knows them.
+    """The strikes recorded by all hosts, as far as they are known here.
 
-    Times are seconds of one monotonic clock. A strike counts as soon as this host saw
-    it, or heard of it from another one or the store; its age counts from then.
+    Times are seconds of one monotonic clock. A strike counts, and its age is measured,
+    from when this host recorded it or received it from another host or the store.
 
     >>> quarantine = Quarantine()
     >>> first = Strike(
@@ -62,15 +63,15 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no strike against anything, as on nearly all days."""
+        """Whether there are no strikes, as is usual."""
         return not self._by_content
 
     def count_held(self, *, now: float) -> int:
-        """Return the number of contents that are held back."""
+        """Return the number of contents that are held."""
         return sum(self.count_left(c, now=now) > 0.0 for c in self._by_content)
 
     def judge(self, content: str, *, now: float) -> Standing:
-        """Return what may be done with a request of this content."""
+        """Return whether a content is clear, suspect or held."""
         if content not in self._by_content:
             return Standing.CLEAR
         if self.count_left(content, now=now) > 0.0:
@@ -78,22 +79,22 @@
         return Standing.SUSPECT
 
     def is_unstored(self, name: str) -> bool:
-        """Tell whether a strike counts here and is not known to be stored."""
+        """Return whether a strike is recorded here and not known to be in the store."""
         return name in self._unstored
 
     def count_left(self, content: str, *, now: float) -> float:
-        """Return the seconds for which a content is still held back; 0 if it is not."""
+        """Return for how many more seconds a content is held; 0 if it is not."""
         trials = [
             self._seen_at[strike.name]
             for strike in self._by_content.get(content, ())
             if strike.is_trial
         ]
-        return max(0.0, max(trials) + HOLD_TIME - now) if trials else 0.0
+        return max(0.0, max(trials) + HOLD_S - now) if trials else 0.0
 
     def add(self, strike: Strike, *, now: float) -> bool:
-        """Take one that this host or another saw; tell whether it is new here.
+        """Add a strike of this host or another one; return whether it was added.
 
-        It is not taken either when there is no room.
+        A strike that is known, or for which there is no space, is not added.
         """
         is_known = strike.name in self._seen_at
         if is_known or len(self._seen_at) >= MAX_STRIKES:
@@ -103,9 +104,9 @@
         return True
 
     def replace_stored(self, strikes: Iterable[Strike], *, now: float) -> None:
-        """Take the strikes that the store holds now, in place of those it held before.
+        """Replace the strikes read from the store before by those that it holds now.
 
-        One that is stored by now goes when it vanishes there.
+        A strike that was stored is removed once it is no longer in the store.
         """
         self._stored = {strike.name: strike for strike in strikes}
         for name in self._stored:
@@ -113,9 +114,9 @@
         self._rebuild(now)
 
     def clear(self, content: str, *, now: float) -> tuple[str, ...]:
-        """Drop what speaks against a content; return what the store still holds of it.
+        """Drop the strikes of a content; return the names of those still in the store.
 
-        Called when a server has answered it: servers do not end under it.
+        Called when a server has answered a request of this content.
         """
         names = {strike.name for strike in self._by_content.get(content, ())}
         stored = tuple(sorted(names & self._stored.keys()))
@@ -123,8 +124,10 @@
         return stored
 
     def expire(self, *, now: float) -> tuple[str, ...]:
-        """Drop strikes that are too old; return those that the store still holds."""
-        old = {name for name, at in self._seen_at.items() if now - at >= MEMORY}
+        """Drop expired strikes; return the names of those still in the store."""
+        old = {
+            name for name, at in self._seen_at.items() if now - at >= STRIKE_LIFETIME_S
+        }
         stored = tuple(sorted(old & self._stored.keys()))
         self._drop(old, now)
         return stored
--- a/src/lavendergap/coordination/records.py
+++ b/src/lavendergap/coordination/records.py
@@ -1,15 +1,15 @@
-"""Joining parts of a library by their greatest records.
+"""Merging parts of a library into their greatest records.
 
-A part is a run of records of a fixed size in no order; what a caller gets are the
-greatest of all parts together. So an owner of several shards needs to pass on only
-the greatest of its own: what is not among these is not among those of the whole.
+A part is an unordered sequence of records of a fixed size; a caller gets the greatest
+of all parts together. An owner of several shards passes on only the greatest of its
+own: a record that is not among these is not among the greatest of all.
 """
 
 from collections.abc import Iterable
 from heapq import nlargest
 
 RECORD_BYTES = 16
-"""The size of a record. Shorter bytes at the end of a part are none."""
+"""The size of a record. Fewer bytes at the end of a part are ignored."""
 
 
 def split_records(part: bytes) -> list[bytes]:
@@ -25,8 +25,8 @@
 def merge_greatest(parts: Iterable[bytes], *, n_wanted: int) -> bytes:
     """Return the `n_wanted` greatest records of all parts, the greatest first.
 
-    Records are compared byte by byte; equal ones all count. Merging what was merged
-    before gives the same as merging all parts at once:
+    Records are compared byte by byte; equal ones all count. Merging merged parts gives
+    the same result as merging all parts at once:
 
     >>> a, b, c = (bytes([n]) * RECORD_BYTES for n in (1, 2, 3))
     >>> whole = merge_greatest([a + c, b + b], n_wanted=2)
--- a/src/lavendergap/coordination/relaying.py
+++ b/src/lavendergap/coordination/relaying.py
@@ -1,4 +1,4 @@
-"""Who gets announcements of the store's changes: all hosts, through relays afar."""
+"""Which hosts receive an announcement of changes: all, remote ones through relays."""
 
 import zlib
 from collections.abc import Collection, Iterable, Mapping
@@ -8,31 +8,29 @@
 from .ranking import rank_hosts
 from .watchers import WATCH_KEY
 
-RELAY_FROM = 5
-"""With so many hosts or more, another data centre is reached through one of them.
+MIN_HOSTS_FOR_RELAY = 5
+"""With this many hosts or more, a remote data centre is reached through a relay.
 
-Sent to each host, 58 of 77 copies of a message cross between four data centres, and at
-550 hosts the announcement that nothing has changed takes 44 KB a second of the sender's
-link. A relay that is frozen keeps its neighbours waiting until they ask the store, some
-2 s, which is not worth it for a few hosts.
+A relay sends to the hosts of its data centre, which saves traffic between data centres.
+If it is frozen, its neighbours wait until they read the store themselves, which is not
+worth it for a few hosts.
 """
 
-MAX_CROSSING_BYTES = 4_096
-"""Longer news cross to one host of each data centre only, however few it has.
+MAX_DIRECT_BYTES = 4_096
+"""Larger changes are sent to one host of each other data centre, however few it has.
 
-An operator's document of some hundred routes is over 100 KB, and would cross once for
-each host.
+An operator's document may be many times larger, and would be sent once for each host.
 """
 
-MAX_RELAYED_BYTES = 16_384
-"""As compressed; longer news cross without what changed, and relays read the store.
+MAX_RELAYED_COMPRESSED_BYTES = 16_384
+"""Changes larger than this when compressed are announced without their content.
 
-An operator's document of some hundred routes is about 10 KB then, and would else be
-read from the store by each host.
+Relays then read them from the store. The limit is above the size of an operator's usual
+document, which every host would otherwise read from the store.
 """
 
-MAX_NEAR_BYTES = 131_072
-"""No news are longer, to bound what a relay sends to its neighbours."""
+MAX_ANNOUNCED_BYTES = 131_072
+"""Limit on the content of any announcement, which bounds what a relay sends."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -45,51 +43,51 @@
 
 
 def are_long(changes: Iterable[FeedChange]) -> bool:
-    """Tell whether changes are to cross to one host of a data centre only."""
-    return _count_bytes(changes) > MAX_CROSSING_BYTES
+    """Return whether changes are sent to one host of each other data centre only."""
+    return _sum_body_bytes(changes) > MAX_DIRECT_BYTES
 
 
 def may_cross(changes: Collection[FeedChange]) -> bool:
-    """Tell whether news to other data centres are to hold the changes themselves."""
+    """Return whether announcements to other data centres contain the changes."""
     if not are_long(changes):
         return True
     if not may_stay(changes):
         return False
     bodies = b"".join(change.body or b"" for change in changes)
-    return len(zlib.compress(bodies, 1)) <= MAX_RELAYED_BYTES
+    return len(zlib.compress(bodies, 1)) <= MAX_RELAYED_COMPRESSED_BYTES
 
 
 def may_stay(changes: Iterable[FeedChange]) -> bool:
-    """Tell the same of news to hosts of the own data centre."""
-    return _count_bytes(changes) <= MAX_NEAR_BYTES
+    """Return whether announcements within a data centre contain the changes."""
+    return _sum_body_bytes(changes) <= MAX_ANNOUNCED_BYTES
 
 
-def _count_bytes(changes: Iterable[FeedChange]) -> int:
+def _sum_body_bytes(changes: Iterable[FeedChange]) -> int:
     return sum(len(change.body or b"") for change in changes)
 
 
 def choose_receivers(
     own: str, places: Mapping[str, str], *, is_relayed: bool = False
 ) -> tuple[Receiver, ...]:
-    """Return to whom `own` sends directly; `places` holds all live hosts.
+    """Return the hosts to which `own` sends; `places` maps hosts to data centres.
 
-    Senders differ in the relays that they choose, so that two seldom rely on one. With
-    `is_relayed` all other data centres are reached through a relay, as for long news.
-    A relay that is frozen then costs its neighbours a call: the next announcement shows
-    them that they lack something.
+    Senders choose different relays, so that few rely on the same one. With `is_relayed`
+    all other data centres are reached through a relay, as for large changes. If a relay
+    is frozen, its neighbours detect from the next announcement that they lack changes
+    and request them.
 
     >>> places = {"a-1": "a", "a-2": "a", "b-1": "b"}
     >>> [receiver.host for receiver in choose_receivers("a-1", places)]
     ['a-2', 'b-1']
     """
-    by_place: dict[str, list[str]] = {}
-    for host, place in places.items():
+    by_data_centre: dict[str, list[str]] = {}
+    for host, data_centre in places.items():
         if host != own:
-            by_place.setdefault(place, []).append(host)
+            by_data_centre.setdefault(data_centre, []).append(host)
     receivers: list[Receiver] = []
-    for place, hosts in sorted(by_place.items()):
-        is_near = place == places.get(own)
-        if is_near or (len(hosts) < RELAY_FROM and not is_relayed):
+    for data_centre, hosts in sorted(by_data_centre.items()):
+        is_near = data_centre == places.get(own)
+        if is_near or (len(hosts) < MIN_HOSTS_FOR_RELAY and not is_relayed):
             receivers += [
                 Receiver(host=host, passes_on=False, is_near=is_near)
                 for host in sorted(hosts)
@@ -101,15 +99,16 @@
 
 
 def list_neighbours(own: str, places: Mapping[str, str]) -> tuple[str, ...]:
-    """Return the other hosts of `own`'s data centre, to whom a relay sends."""
-    place = places.get(own)
-    return tuple(sorted(h for h, p in places.items() if p == place and h != own))
+    """Return the other hosts in the data centre of `own`, sorted by name."""
+    data_centre = places.get(own)
+    return tuple(sorted(h for h, p in places.items() if p == data_centre and h != own))
 
 
 def leads_place(own: str, places: Mapping[str, str]) -> bool:
-    """Tell whether `own` is the host that watches the store for its data centre.
+    """Return whether `own` is the host that watches the store for its data centre.
 
-    Only where the hosts have just started and do not know yet who watches for all.
+    Used only just after the start, while the watch holders of all hosts are not known
+    yet.
 
     >>> places = {"a-1": "a", "a-2": "a", "b-1": "b"}
     >>> [host for host in places if leads_place(host, places)]
--- a/src/lavendergap/coordination/watchers.py
+++ b/src/lavendergap/coordination/watchers.py
@@ -1,4 +1,4 @@
-"""Which few hosts watch the platform for all, and how rarely the others read it."""
+"""Which hosts hold the platform's watches, and how often the others read it."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 
 WATCH_KEY = "watch"
 MIN_READ_INTERVAL_S = 20.0
-"""No host reads the platform of its own accord more often than this on average."""
+"""Shortest mean interval between the reads of one host that holds no watch."""
 
 MAX_READS_PER_S = 0.5
-"""Calls a second for all hosts' own reads together, whatever the fleet."""
+"""Limit on the calls for these reads by all hosts together, for any number of hosts."""
 
 CALLS_PER_READ = 2
-"""One list of the settings' versions and one of the indexes'."""
+"""One listing of the settings' versions and one of the indexes'."""
 
 WATCH_WAIT_S = 7.0
 """How long the platform holds a watch.
 
-A watch whose connection has gone silent is given up two seconds later, and the next
-one tells what was missed. Were it 30 s, an edit would wait for so long when something
-in the way forgets the connections of all holders at once; it has 13 s.
+A watch whose connection has gone silent is abandoned two seconds later, and the next
+one returns the missed changes. So this also bounds the delay of an edit when a network
+device drops the connections of all holders at once.
 """
 
 WATCHES_PER_HOLDER = 2
@@ -30,12 +30,12 @@
 
 
 def choose_watch_holders(members: Iterable[Member], n_holders: int) -> tuple[str, ...]:
-    """Return the hosts that hold the platform's watches, the first one first.
+    """Return the hosts that hold the platform's watches, the first ranked first.
 
-    The platform sees as many waiting watches whatever the size of the fleet. The
-    holders stand in different data centres where the members allow it, so that
-    the loss of one data centre leaves a watch; every host works out the same
-    answer from the same members, and the next takes over when a holder dies.
+    The number of watches at the platform does not depend on the number of hosts. The
+    holders are in different data centres if possible, so that a watch remains when one
+    data centre is lost. Every host computes the same holders from the same members;
+    when a holder dies, the next ranked host replaces it.
 
     >>> from lavendergap.state.settings import Address
     >>> fleet = [
@@ -50,11 +50,11 @@
     data_centres = {m.name: m.data_centre for m in members if m.may_own}
     ranked = rank_hosts(WATCH_KEY, data_centres)
     chosen: list[str] = []
-    taken: set[str] = set()
+    used: set[str] = set()
     for name in ranked:
-        if len(chosen) < n_holders and data_centres[name] not in taken:
+        if len(chosen) < n_holders and data_centres[name] not in used:
             chosen.append(name)
-            taken.add(data_centres[name])
+            used.add(data_centres[name])
     for name in ranked:
         if len(chosen) < n_holders and name not in chosen:
             chosen.append(name)
@@ -64,10 +64,9 @@
 def compute_read_interval(n_hosts: int) -> float:
     """Return the mean seconds between one host's own reads of the platform.
 
-    They are the safety net for when every watch holder is cut off from it: whoever
-    reads something newer passes it on, and from five hosts on somebody reads every
-    four seconds on average. Only versions are listed; bodies are read when
-    they are newer.
+    The reads are the fallback for when all watch holders are cut off from the platform:
+    a host that reads something newer passes it on. Only versions are listed; bodies are
+    read when they are newer.
 
     >>> compute_read_interval(7), compute_read_interval(550)
     (28.0, 2200.0)
@@ -76,9 +75,9 @@
 
 
 def draw_read_delay(n_hosts: int, random: Random) -> float:
-    """Return the seconds until this host's next own read, jittered by half.
+    """Return the seconds until this host's next own read, with 50 % jitter.
 
-    Without the jitter hosts that were started together would read together.
+    Without jitter, hosts that started together would read at the same time.
 
     >>> 14.0 <= draw_read_delay(7, Random(1)) <= 42.0
     True
@@ -88,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformLoad:
-    """Calls a second that the whole fleet asks of the platform, and its parts."""
+    """Waiting watches and calls per second at the platform, from all hosts."""
 
     waiting: int
     renewals: float
@@ -97,14 +96,14 @@
 
     @property
     def calls_per_s(self) -> float:
-        """All calls that are made in a second, on average."""
+        """Mean calls per second, of all kinds."""
         return self.renewals + self.news + self.reads
 
 
 def bound_platform_load(
     *, n_hosts: int, n_holders: int, changes_per_s: float
 ) -> PlatformLoad:
-    """Return the upper bound of what the fleet asks of the platform.
+    """Return an upper bound of the load of all hosts on the platform.
 
     Each change ends each holder's watch of its prefix, and each holder fetches it.
 
--- a/tests/test_pinning.py
+++ b/tests/test_pinning.py
@@ -1,8 +1,8 @@
 """Which snapshot a new query is pinned to."""
 
 from lavendergap.coordination.pinning import (
-    NOT_YET_MEMORY,
-    PUBLICATION_GRACE,
+    PUBLICATION_GRACE_S,
+    REFUSAL_RETRY_S,
     Pinning,
 )
 from lavendergap.state.snapshot import Published, Shard, Snapshot
@@ -31,7 +31,7 @@
         pinning = Pinning(published=publish(7, 8))
         pinning.mark_gone(shard="s1", version=8, now=10.0)
         assert pinning.choose(now=10.1).version == 7
-        assert pinning.choose(now=10.0 + NOT_YET_MEMORY).version == 8
+        assert pinning.choose(now=10.0 + REFUSAL_RETRY_S).version == 8
 
     def test_a_version_that_a_shard_left_behind_does_not_come_back(self):
         pinning = Pinning(published=publish(6, 7))
@@ -57,7 +57,7 @@
         pinning.observe(shard="s0", versions=(7,), now=1.0)
         pinning.replace(publish(7, 8, at=2), now=2.0)
         assert pinning.choose(now=2.5).version == 7
-        assert pinning.choose(now=2.0 + PUBLICATION_GRACE).version == 8
+        assert pinning.choose(now=2.0 + PUBLICATION_GRACE_S).version == 8
 
     def test_an_old_list_that_comes_late_changes_nothing(self):
         pinning = Pinning(published=publish(7, 8, at=5))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,9 +7,9 @@
 
 from lavendergap.coordination.contents import identify_content
 from lavendergap.coordination.quarantine import (
-    HOLD_TIME,
+    HOLD_S,
     MAX_STRIKES,
-    MEMORY,
+    STRIKE_LIFETIME_S,
     Quarantine,
 )
 from lavendergap.entry.quarantine import MAX_UNWRITTEN, QuarantineKeeper
@@ -67,10 +67,10 @@
         quarantine = Quarantine()
         quarantine.add(make_strike("c.1"), now=0.0)
         quarantine.add(make_strike("c.2", is_trial=True), now=5.0)
-        assert quarantine.judge("c", now=HOLD_TIME) is Standing.HELD
-        assert quarantine.judge("c", now=5.0 + HOLD_TIME) is Standing.SUSPECT
-        quarantine.expire(now=5.0 + MEMORY)
-        assert quarantine.judge("c", now=5.0 + MEMORY) is Standing.CLEAR
+        assert quarantine.judge("c", now=HOLD_S) is Standing.HELD
+        assert quarantine.judge("c", now=5.0 + HOLD_S) is Standing.SUSPECT
+        quarantine.expire(now=5.0 + STRIKE_LIFETIME_S)
+        assert quarantine.judge("c", now=5.0 + STRIKE_LIFETIME_S) is Standing.CLEAR
 
     def test_other_contents_are_not_touched(self):
         quarantine = Quarantine()
@@ -173,7 +173,7 @@
         keeper.use_entries({f"{content}.trial": content.encode()}, 7)
         assert keeper.judge(make_request(), b"") is Standing.HELD
         refusal = keeper.refuse(make_request(), b"", peer="r")
-        assert refusal.retry_after_ms == HOLD_TIME * 1_000
+        assert refusal.retry_after_ms == HOLD_S * 1_000
 
     async def test_nonsense_in_the_store_holds_nothing_back(self, autojump_clock):
         keeper = make_keeper(StoredStrikes())
@@ -187,7 +187,7 @@
         [name] = keeper._store.held
         content = identify_content(make_request(), b"")
         keeper.use_entries({name: content.encode()}, 7)
-        await trio.sleep(MEMORY + 10.0)
+        await trio.sleep(STRIKE_LIFETIME_S + 10.0)
         assert keeper._store.held == {}
 
     async def test_writes_that_wait_are_bounded(self, keeper, autojump_clock):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lavendergap.coordination.relaying import (
-    MAX_CROSSING_BYTES,
-    MAX_RELAYED_BYTES,
-    RELAY_FROM,
+    MAX_DIRECT_BYTES,
+    MAX_RELAYED_COMPRESSED_BYTES,
+    MIN_HOSTS_FOR_RELAY,
     are_long,
     choose_receivers,
     leads_place,
@@ -51,7 +51,7 @@
     def test_small_fleets_have_no_relays(self):
         # A relay that is frozen keeps its neighbours waiting; with two hosts in a data
         # centre nothing is saved by it.
-        places = make_fleet(4 * (RELAY_FROM - 1), 4)
+        places = make_fleet(4 * (MIN_HOSTS_FOR_RELAY - 1), 4)
         assert not any(h.passes_on for h in choose_receivers("h-000", places))
 
     def test_two_tellers_seldom_rely_on_one_relay(self):
@@ -99,7 +99,7 @@
         assert may_stay(self.make(self.ROUTES))
 
     def test_everybody_gets_what_is_short(self):
-        for body in (None, b"x" * MAX_CROSSING_BYTES):
+        for body in (None, b"x" * MAX_DIRECT_BYTES):
             assert not are_long(self.make(body))
             assert may_cross(self.make(body))
             assert may_stay(self.make(body))
@@ -117,7 +117,7 @@
         assert sorted(told) == sorted(places.keys() - {"h-000"})
 
     def test_what_does_not_pack_is_read_from_the_store(self):
-        body = Random(1).randbytes(2 * MAX_RELAYED_BYTES)
+        body = Random(1).randbytes(2 * MAX_RELAYED_COMPRESSED_BYTES)
         assert not may_cross(self.make(body))
         assert may_stay(self.make(body))
 
