--- a/src/lavendergap/coordination/issuer.py
+++ b/src/lavendergap/coordination/issuer.py
@@ -215,9 +215,7 @@
             case _Running():
                 return AlreadyRunning()
             case _Unused():
-                raise ValueError(
-                    f"ticket {ticket.serial} has no request being recorded"
-                )
+                raise ValueError(f"ticket {ticket.serial}: no request has begun")
 
     def end(self, ticket: Ticket, outcome: Outcome) -> RecordEnded:
         """Store the outcome of a run for repeats; return the message for the witness.
--- a/src/lavendergap/coordination/placement.py
+++ b/src/lavendergap/coordination/placement.py
@@ -70,20 +70,20 @@
     def replace_servers(
         self,
         servers: Mapping[str, frozenset[str]],
-        sets: Iterable[tuple[str, ...]] = (),
+        shard_sets: Iterable[tuple[str, ...]] = (),
     ) -> None:
         """Set the data centres in which each group has servers.
 
-        `sets` are the groups that queries ask together. Nothing is recomputed if both
-        are unchanged, as when a host joined or a server changed its address.
+        `shard_sets` are the groups that queries ask together. Nothing is recomputed if
+        both are unchanged, as when a host joined or a server changed its address.
         """
-        sets = tuple(sets)
-        if servers == self._servers and sets == self._shard_sets:
+        shard_sets = tuple(shard_sets)
+        if servers == self._servers and shard_sets == self._shard_sets:
             return
         self._servers = servers
-        self._shard_sets = sets
+        self._shard_sets = shard_sets
         self._buckets = {}
-        for groups in sets:
+        for groups in shard_sets:
             self._assign_buckets(groups)
         self._update_order()
 
--- a/src/lavendergap/coordination/registration.py
+++ b/src/lavendergap/coordination/registration.py
@@ -16,16 +16,16 @@
 _RANKING_KEY = "registered"
 
 
-def is_to_register(own: str, places: Mapping[str, str]) -> bool:
-    """Return whether `own` has to register; `places` holds the live hosts.
+def is_to_register(own: str, data_centres: Mapping[str, str]) -> bool:
+    """Return whether `own` has to register; `data_centres` holds the live hosts.
 
     A host without neighbours registers too: it may be cut off, or the first to start.
 
     >>> is_to_register("a-1", {"a-1": "a", "b-1": "b"})
     True
-    >>> places = {f"a-{n}": "a" for n in range(9)}
-    >>> sum(is_to_register(host, places) for host in places)
+    >>> data_centres = {f"a-{n}": "a" for n in range(9)}
+    >>> sum(is_to_register(host, data_centres) for host in data_centres)
     3
     """
-    ranked = rank_hosts(_RANKING_KEY, (own, *list_neighbours(own, places)))
+    ranked = rank_hosts(_RANKING_KEY, (own, *list_neighbours(own, data_centres)))
     return own in ranked[:REGISTERED_A_PLACE]
--- a/src/lavendergap/coordination/relaying.py
+++ b/src/lavendergap/coordination/relaying.py
@@ -67,26 +67,26 @@
 
 
 def choose_receivers(
-    own: str, places: Mapping[str, str], *, is_relayed: bool = False
+    own: str, data_centres: Mapping[str, str], *, is_relayed: bool = False
 ) -> tuple[Receiver, ...]:
-    """Return the hosts to which `own` sends; `places` maps hosts to data centres.
+    """Return the hosts to which `own` sends; `data_centres` maps hosts to data centres.
 
     Senders choose different relays, so that few rely on the same one. With `is_relayed`
     all other data centres are reached through a relay, as for large changes. If a relay
     is frozen, its neighbours detect from the next announcement that they lack changes
     and request them.
 
-    >>> places = {"a-1": "a", "a-2": "a", "b-1": "b"}
-    >>> [receiver.host for receiver in choose_receivers("a-1", places)]
+    >>> data_centres = {"a-1": "a", "a-2": "a", "b-1": "b"}
+    >>> [receiver.host for receiver in choose_receivers("a-1", data_centres)]
     ['a-2', 'b-1']
     """
     by_data_centre: dict[str, list[str]] = {}
-    for host, data_centre in places.items():
+    for host, data_centre in data_centres.items():
         if host != own:
             by_data_centre.setdefault(data_centre, []).append(host)
     receivers: list[Receiver] = []
     for data_centre, hosts in sorted(by_data_centre.items()):
-        is_near = data_centre == places.get(own)
+        is_near = data_centre == data_centres.get(own)
         if is_near or (len(hosts) < MIN_HOSTS_FOR_RELAY and not is_relayed):
             receivers += [
                 Receiver(host=host, passes_on=False, is_near=is_near)
@@ -98,21 +98,23 @@
     return tuple(receivers)
 
 
-def list_neighbours(own: str, places: Mapping[str, str]) -> tuple[str, ...]:
+def list_neighbours(own: str, data_centres: Mapping[str, str]) -> tuple[str, ...]:
     """Return the other hosts in the data centre of `own`, sorted by name."""
-    data_centre = places.get(own)
-    return tuple(sorted(h for h, p in places.items() if p == data_centre and h != own))
+    data_centre = data_centres.get(own)
+    return tuple(
+        sorted(h for h, p in data_centres.items() if p == data_centre and h != own)
+    )
 
 
-def leads_place(own: str, places: Mapping[str, str]) -> bool:
+def leads_place(own: str, data_centres: Mapping[str, str]) -> bool:
     """Return whether `own` is the host that watches the store for its data centre.
 
     Used only just after the start, while the watch holders of all hosts are not known
     yet.
 
-    >>> places = {"a-1": "a", "a-2": "a", "b-1": "b"}
-    >>> [host for host in places if leads_place(host, places)]
+    >>> data_centres = {"a-1": "a", "a-2": "a", "b-1": "b"}
+    >>> [host for host in data_centres if leads_place(host, data_centres)]
     ['a-1', 'b-1']
     """
-    neighbours = list_neighbours(own, places)
+    neighbours = list_neighbours(own, data_centres)
     return rank_hosts(WATCH_KEY, (own, *neighbours))[0] == own
--- a/src/lavendergap/coordination/roster.py
+++ b/src/lavendergap/coordination/roster.py
@@ -29,7 +29,7 @@
     return xxh3_64_intdigest(order.encode())
 
 
-def choose_bucket(name: str) -> int:
+def get_bucket(name: str) -> int:
     """Return the bucket of the table that holds the member called `name`."""
     return xxh3_64_intdigest(name.encode()) % N_BUCKETS
 
@@ -131,7 +131,7 @@
         tables must not differ for that.
         """
         buckets = list(self._buckets)
-        buckets[choose_bucket(own.name)] ^= _hash_member(own)
+        buckets[get_bucket(own.name)] ^= _hash_member(own)
         return tuple(buckets)
 
     def list_buckets(self, buckets: set[int]) -> list[Member]:
@@ -139,7 +139,7 @@
         return [
             entry.member
             for name, entry in self._entries.items()
-            if not entry.stale and choose_bucket(name) in buckets
+            if not entry.stale and get_bucket(name) in buckets
         ]
 
     def _put(self, member: Member, *, now: float) -> None:
@@ -158,4 +158,4 @@
     def _toggle(self, entry: _Entry) -> None:
         """Add an entry to the hash of its bucket, or remove it again."""
         if entry.member.state is not MemberState.DEAD:
-            self._buckets[choose_bucket(entry.member.name)] ^= entry.digest
+            self._buckets[get_bucket(entry.member.name)] ^= entry.digest
