--- a/src/lavendergap/coordination/documents.py
+++ b/src/lavendergap/coordination/documents.py
@@ -167,22 +167,22 @@
 
         A version that was refused here is not fetched again; a newer one is.
         """
-        ours = self.digest()
-        if digest.fingerprint == ours.fingerprint:
+        own_digest = self.digest()
+        if digest.fingerprint == own_digest.fingerprint:
             return Comparison(wanted=(), offered=(), complete=True)
         wanted = tuple(
-            FetchDocument(name=theirs.name, at_least=theirs.version)
-            for theirs in digest.newest
-            if theirs.version > self._newest_seen(theirs.name)
+            FetchDocument(name=remote.name, at_least=remote.version)
+            for remote in digest.newest
+            if remote.version > self._newest_seen(remote.name)
         )
-        known = {theirs.name: theirs.version for theirs in digest.newest}
+        remote_versions = {remote.name: remote.version for remote in digest.newest}
         # Versions omitted from a truncated digest are older than all that it lists.
-        floor = min((d.version for d in digest.newest), default=-1)
-        floor = floor if digest.truncated else -1
+        oldest_listed = min((d.version for d in digest.newest), default=-1)
+        oldest_listed = oldest_listed if digest.truncated else -1
         offered = tuple(
-            mine
-            for mine in self.versions()
-            if mine.version > known.get(mine.name, floor)
+            own
+            for own in self.versions()
+            if own.version > remote_versions.get(own.name, oldest_listed)
         )
         complete = not digest.truncated or bool(wanted or offered)
         return Comparison(wanted=wanted, offered=offered, complete=complete)
--- a/src/lavendergap/coordination/membership.py
+++ b/src/lavendergap/coordination/membership.py
@@ -536,12 +536,14 @@
     def _compare_summary(
         self, summary: Summary, sender: Address, now: float
     ) -> list[Send]:
-        ours = self._roster.hash_buckets(self.own)
-        theirs = summary.buckets
+        own_hashes = self._roster.hash_buckets(self.own)
+        remote_hashes = summary.buckets
         differing = {
             index
-            for index, (mine, other) in enumerate(zip(ours, theirs, strict=False))
-            if mine != other
+            for index, (own_hash, remote_hash) in enumerate(
+                zip(own_hashes, remote_hashes, strict=False)
+            )
+            if own_hash != remote_hash
         }
         sends, truncated = self._send_tables(differing, sender)
         if not summary.is_answer:
