--- a/tests/strikes.py
+++ b/tests/strikes.py
@@ -1,4 +1,4 @@
-"""A store of strikes in memory, for the tests of what they do."""
+"""An in-memory store of strikes for tests."""
 
 from dataclasses import dataclass, field
 
@@ -7,24 +7,24 @@
 
 @dataclass
 class StoredStrikes:
-    """Keeps what it is told while it `is_up`."""
+    """Holds written strikes while it `is_up`, and records announced ones."""
 
     is_up: bool = True
-    held: dict[str, Strike] = field(default_factory=dict)
-    told: list[Strike] = field(default_factory=list)
+    stored: dict[str, Strike] = field(default_factory=dict)
+    announced: list[Strike] = field(default_factory=list)
 
     async def write_strike(self, strike: Strike) -> bool:
         if self.is_up:
-            self.held[strike.name] = strike
+            self.stored[strike.name] = strike
         return self.is_up
 
     async def remove_strike(self, name: str) -> bool:
         if self.is_up:
-            self.held.pop(name, None)
+            self.stored.pop(name, None)
         return self.is_up
 
     def read_strike(self, name: str, body: bytes) -> Strike:
-        """Read an entry whose body is the content alone."""
+        """Read an entry whose body is only the content."""
         if not body:
             raise ValueError("expected a content")
         return Strike(
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Groups from routes and registry, and how the budget of extra calls is divided."""
+"""Groups from routes and registry, and the division of the extra call budget."""
 
 from dataclasses import replace
 from random import Random
@@ -74,7 +74,7 @@
         assert [server.name for server in group.servers] == ["i1"]
 
     def test_an_evacuated_data_centre_has_neither_servers_nor_owners(self):
-        """Guards against owners that stay beside servers which get nothing."""
+        """Guards against owners in a data centre whose servers get no calls."""
         services, places = build(
             make_server("i1", "s1", "ptl-a"),
             make_server("i2", "s1", "ptl-b"),
@@ -85,34 +85,33 @@
         assert services["s2"].groups[0].servers == ()
         assert places == {"s1": {"ptl-b"}, "s2": frozenset()}
 
-    def test_a_group_without_servers_is_there_to_be_refused(self):
+    def test_a_group_without_servers_is_kept(self):
         services, _ = build()
         assert services["s2"].groups[0].servers == ()
 
-    def test_the_order_of_the_registry_changes_nothing(self):
+    def test_the_order_of_the_registry_does_not_matter(self):
         one, two = make_server("i1", "s1", "ptl-a"), make_server("i2", "s1", "ptl-b")
         assert build(one, two) == build(two, one)
 
 
 class TestSharing:
     def test_owners_share_the_connections_of_a_shard(self):
-        # Servers in two data centres have an owner in each, and one more while a
-        # group moves: together they stay within what a server accepts.
+        # Servers in two data centres have an owner in each, and a third while a group
+        # moves: together they must not exceed the connections that a server accepts.
         services, places = build(
             make_server("i1", "s1", "ptl-a"), make_server("i2", "s1", "ptl-b")
         )
         assert places["s1"] == {"ptl-a", "ptl-b"}
         assert 3 * services["s1"].groups[0].servers[0].connections <= 26
 
-    def test_all_hosts_share_those_of_a_group_that_each_may_call(self):
+    def test_all_hosts_share_the_connections_of_a_group_that_each_may_call(self):
         services, _ = build(make_server("i1", "one", "ptl-a"))
         assert 8 * services["one"].groups[0].servers[0].connections <= 100
 
     def test_extra_calls_of_all_owners_stay_within_the_budget(self):
-        # Every call fails or is slow, so each owner spends all that it may, for a
-        # minute at 22 calls a second to one shard (45 queries a second that go to
-        # one of two sets of shards). In no window of 10 s do the owners together
-        # send more than a fifth of the requests and the slack.
+        # Every call fails or is slow, so that each owner spends its whole budget. In no
+        # window may the owners together exceed the share of the requests plus the
+        # slack.
         services, _ = build(
             make_server("i1", "s1", "ptl-a"), make_server("i2", "s1", "ptl-b")
         )
@@ -133,25 +132,24 @@
             for _ in range(3)
         ]
         random = Random(1)
-        times, extra = [], []
+        call_times, extra_times = [], []
         for n in range(22 * 60):
             now = n / 22
-            times.append(now)
+            call_times.append(now)
             owner = random.choice(owners)
             for budget in owner:
                 budget.earn()
             for budgets in owners:
-                extra += [now for budget in budgets if budget.spend(now=now)]
+                extra_times += [now for budget in budgets if budget.spend(now=now)]
         for start in range(50):
-            n_extra = sum(start <= at < start + 10 for at in extra)
-            n_calls = sum(start <= at < start + 10 for at in times)
+            n_extra = sum(start <= at < start + 10 for at in extra_times)
+            n_calls = sum(start <= at < start + 10 for at in call_times)
             assert n_extra <= BUDGET.share * n_calls + BUDGET.slack
 
 
 class TestNextCatalog:
-    # Hosts and servers come and go one by one, and a host has hundreds of groups. What
-    # a change does not touch must be the very object that it was: then neither it nor
-    # the group's runner is looked at again.
+    # What a change of a host or server does not affect must stay the same object, so
+    # that neither it nor the runner of its group is rebuilt.
 
     SERVERS = tuple(
         make_server(f"{group}-{place}", group, f"ptl-{place}")
@@ -175,26 +173,30 @@
             before=before,
         )
 
-    def list_kept(self, before: Catalog, after: Catalog) -> set[str]:
-        found = {service.name: service for service in before.services}
-        return {each.name for each in after.services if each is found.get(each.name)}
+    def list_unchanged(self, before: Catalog, after: Catalog) -> set[str]:
+        before_by_name = {service.name: service for service in before.services}
+        return {
+            each.name
+            for each in after.services
+            if each is before_by_name.get(each.name)
+        }
 
-    def test_a_host_more_changes_only_what_all_hosts_share(self):
+    def test_another_host_changes_only_groups_that_all_hosts_share(self):
         before = self.build()
         after = self.build(n_hosts=10, before=before)
-        assert self.list_kept(before, after) == {"s1", "s2"}
+        assert self.list_unchanged(before, after) == {"s1", "s2"}
         assert after == self.build(n_hosts=10)
 
-    def test_a_server_that_leaves_changes_its_group_alone(self):
+    def test_a_server_that_leaves_changes_only_its_group(self):
         before = self.build()
         after = self.build(servers=self.SERVERS[1:], before=before)
-        assert self.list_kept(before, after) == {"s2", "one"}
+        assert self.list_unchanged(before, after) == {"s2", "one"}
         assert after == self.build(servers=self.SERVERS[1:])
 
-    def test_groups_on_whose_terms_new_routes_agree_are_kept(self):
+    def test_groups_with_equal_inputs_in_new_routes_are_kept(self):
         before = self.build()
         connections = {**self.TABLE.connections, "s1": 13}
         table = replace(self.TABLE, version=4, connections=connections)
         after = self.build(table=table, before=before)
-        assert self.list_kept(before, after) == {"s2", "one"}
+        assert self.list_unchanged(before, after) == {"s2", "one"}
         assert after == self.build(table=table)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Which version of a document is in force, whatever order versions come in."""
+"""Which version of a document is in force, for any order of arrival."""
 
 import pytest
 from hypothesis import given, settings
@@ -17,7 +17,7 @@
 
 SETTINGS = "settings/cedarlight"
 INDEX = "index/scheduler"
-STEADY = settings(derandomize=True, deadline=None, max_examples=200)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=200)
 
 
 def check(name: str, body: bytes) -> str | None:
@@ -31,29 +31,28 @@
     return documents
 
 
-def ignore(version: int, reason: IgnoredReason, detail: str = "") -> Ignored:
+def make_ignored(version: int, reason: IgnoredReason, detail: str = "") -> Ignored:
     return Ignored(name=SETTINGS, version=version, reason=reason, detail=detail)
 
 
 class TestOffer:
     @pytest.mark.parametrize("source", Source)
     def test_never_reverts_whatever_the_source(self, source):
-        # An operator's edit is in force. Then the platform answers from a stale
-        # copy, or a peer that was paused offers what it had, or a restart reads
-        # its old file: callers would be served by settings already replaced.
+        # Guards against an edit that is reverted by a stale copy of the platform, by a
+        # peer that was paused, or by an old file after a restart.
         documents = Documents(check=check)
         documents.offer(SETTINGS, 7, b"new", Source.PLATFORM)
-        assert documents.offer(SETTINGS, 6, b"old", source) == ignore(
+        assert documents.offer(SETTINGS, 6, b"old", source) == make_ignored(
             6, IgnoredReason.OLDER
         )
-        assert documents.offer(SETTINGS, 7, b"other", source) == ignore(
+        assert documents.offer(SETTINGS, 7, b"other", source) == make_ignored(
             7, IgnoredReason.SAME
         )
         document = documents.get(SETTINGS)
         assert document is not None
         assert document.body == b"new"
 
-    def test_version_0_of_the_file_counts_until_anything_newer(self):
+    def test_version_0_of_the_file_is_in_force_until_a_newer_one(self):
         documents = Documents(check=check)
         accepted = documents.offer(SETTINGS, 0, b"file", Source.FILE)
         assert accepted == Accepted(name=SETTINGS, version=0)
@@ -61,7 +60,7 @@
             name=SETTINGS, version=1
         )
 
-    @STEADY
+    @DETERMINISTIC
     @given(
         offers=st.lists(
             st.tuples(st.integers(0, 9), st.booleans(), st.sampled_from(Source))
@@ -81,12 +80,12 @@
 
 
 class TestRefused:
-    def test_is_remembered_and_not_in_force_while_a_newer_may_come(self):
-        # Version 8 can't be read here. The host must go on with 7, say why, ask
-        # nobody for 8 again, and take 9 when the operator has mended it.
+    def test_a_refused_version_is_recorded_until_a_newer_one(self):
+        # A refused version is reported, leaves the older one in force and is not
+        # fetched again; a newer version replaces both.
         documents = Documents(check=check)
         documents.offer(SETTINGS, 7, b"good", Source.PLATFORM)
-        refused = ignore(8, IgnoredReason.REFUSED, "not JSON")
+        refused = make_ignored(8, IgnoredReason.REFUSED, "not JSON")
         assert documents.offer(SETTINGS, 8, b"broken", Source.PEER) == refused
         assert documents.offer(SETTINGS, 8, b"broken", Source.PLATFORM) == refused
         assert documents.problems() == (
@@ -109,7 +108,7 @@
         assert (comparison.wanted, comparison.offered) == ((), ())
         assert comparison.complete
 
-    def test_newer_ones_go_each_way(self):
+    def test_newer_versions_are_fetched_and_offered(self):
         comparison = build_documents(a=1, b=5, c=3).compare(
             build_documents(a=4, b=2, d=6).digest()
         )
@@ -122,10 +121,9 @@
             DocumentVersion(name="c", version=3),
         }
 
-    def test_a_difference_too_old_to_be_listed_is_not_taken_for_none(self):
-        # There are more documents than a datagram lists, and this host missed one
-        # that changed long ago. The listed ones are alike; were that the end of
-        # it, the host would stay behind until the document changes again.
+    def test_a_difference_too_old_to_be_listed_is_incomplete(self):
+        # Guards against a host that stays behind because its missing version is too old
+        # for the truncated digest, whose listed versions all match.
         many = {f"index/{number:02}": 100 + number for number in range(60)}
         theirs = build_documents(**many, old=5)
         ours = build_documents(**many)
@@ -135,13 +133,13 @@
         assert comparison.wanted == ()
         assert not comparison.complete
 
-    def test_what_a_truncated_digest_leaves_out_is_not_offered_blindly(self):
+    def test_only_newer_versions_are_offered_for_a_truncated_digest(self):
         many = {f"index/{number:02}": 100 + number for number in range(60)}
         theirs = build_documents(**many)
         ours = build_documents(**{**many, "index/59": 500, "index/00": 501})
         offered = {entry.version for entry in ours.compare(theirs.digest()).offered}
         assert offered == {500, 501}
 
-    def test_a_senseless_digest_does_no_harm(self):
+    def test_an_empty_truncated_digest_is_incomplete(self):
         empty = DocumentsDigest(fingerprint=9, truncated=True)
         assert not build_documents().compare(empty).complete
--- a/tests/test_issuer.py
+++ b/tests/test_issuer.py
@@ -50,7 +50,7 @@
 
 
 class TestRunningOnce:
-    def test_runs_upon_the_first_ack_only(self):
+    def test_runs_on_the_first_ack_only(self):
         issuer = make_issuer()
         ticket = issue(issuer)
         assert issuer.ask(ticket, now=0.0) == NotBegun()
@@ -79,11 +79,7 @@
         ],
     )
     def test_never_runs_once_given_up(self, reply, reason):
-        """The caller sees "not run" since the witness gave no ack in time.
-
-        Then the ack comes, late. Had the request run now, a "not run" that was told
-        would be false; so the issuer keeps its word.
-        """
+        """Guards against a run on a late ack after "not run" was returned."""
         issuer = make_issuer()
         ticket = issue(issuer)
         issuer.begin(ticket, body=b"1", now=0.0)
@@ -146,13 +142,13 @@
         refusal = Refused(reason=TicketProblem.OTHER_BODY)
         assert issuer.begin(ticket, body=b"2", now=0.0) == refusal
 
-    def test_refuses_names_that_a_ticket_cannot_hold(self):
+    def test_refuses_names_not_allowed_in_a_ticket(self):
         with pytest.raises(ValueError, match="a~b"):
             make_issuer().issue(service="a~b", witness=None, now=0.0)
 
 
 class TestBounds:
-    def test_issues_no_more_than_it_can_hold(self):
+    def test_issues_no_more_than_max_tickets(self):
         issuer = make_issuer()
         tickets = [issue(issuer, now) for now in (0.0, 1.0, 2.0)]
         refusal = issue(issuer, 4.0)
@@ -162,10 +158,7 @@
         assert issue(issuer, 10.0).serial == tickets[-1].serial + 1
 
     def test_expired_ticket_never_runs(self):
-        """A caller keeps a ticket for longer than its lifetime, then uses it.
-
-        Its record is gone, and gone too if it had run, so the answer is unknown.
-        """
+        """The record of an expired ticket is dropped, so its outcome is unknown."""
         issuer = make_issuer()
         ticket = issue(issuer)
         reply = issuer.begin(ticket, body=b"1", now=10.0)
@@ -180,7 +173,7 @@
         issuer.record(ticket, Ack())
         assert issuer.begin(ticket, body=b"1", now=60.0) == AlreadyRunning()
 
-    def test_answers_beyond_the_bytes_become_unknown(self):
+    def test_answers_beyond_max_body_bytes_become_unknown(self):
         issuer = make_issuer(max_body_bytes=10)
         first = run(issuer)
         second = run(issuer)
@@ -189,9 +182,9 @@
 
 
 class TestHandingOver:
-    """A planned stop: what others may ask about goes to the witnesses."""
+    """At a planned stop, unconfirmed outcomes are sent to the witnesses."""
 
-    def test_sends_what_witnesses_do_not_have_and_closes(self):
+    def test_sends_unconfirmed_outcomes_and_closes(self):
         issuer = make_issuer()
         issuer.confirm_open(WITNESS)
         issuer.confirm(run(issuer))
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Joining shards' answers, giving up stragglers, and coverage."""
+"""Joining the answers of shards, giving up stragglers, and coverage."""
 
 import pytest
 
@@ -9,11 +9,11 @@
 
 from .groups import lose
 
-PATIENT = WaitForCoverage()
-PROMPT = GiveUpStragglers(min_share=0.75, patience=2.0)
+WAIT = WaitForCoverage()
+GIVE_UP = GiveUpStragglers(min_share=0.75, patience=2.0)
 
 
-def make_join(policy=PROMPT, n_shards=4):
+def make_join(policy=GIVE_UP, n_shards=4):
     shards = tuple(
         Shard(name=f"s{n}", group=f"g{n}", share=1 / n_shards) for n in range(n_shards)
     )
@@ -27,7 +27,7 @@
 
 
 class TestJoin:
-    def test_all_answers_make_a_whole_one(self):
+    def test_all_answers_give_full_coverage(self):
         join = make_join()
         answer(join, "s2", "s0", "s1", "s3")
         assert join.is_done
@@ -37,8 +37,8 @@
         assert join.coverage().missing == ()
 
     def test_a_second_or_a_strange_answer_is_counted_and_dropped(self):
-        # An owner is lost and its shards are asked again elsewhere; then the first
-        # owner's answers come after all. Counted twice they would claim coverage.
+        # Guards against coverage that counts a shard twice, when a lost owner's answer
+        # arrives after the shard was asked again elsewhere.
         join = make_join()
         answer(join, "s0", "s0", "s9")
         assert join.n_ignored == 2
@@ -62,9 +62,9 @@
         assert (missing["s1"].step, missing["s1"].peer) == (Step.RECEIVE, "a")
         assert missing["s3"].reason is Reason.STRAGGLER
 
-    def test_a_version_gone_asks_for_another_snapshot(self):
-        # A shard moved to version 8 under the query. Its answers can not be joined
-        # to those of version 7; the query starts over.
+    def test_a_version_gone_requires_another_snapshot(self):
+        # A shard that moved to another version cannot be joined with the others; the
+        # query has to start over.
         join = make_join()
         gone = NotRun(step=Step.RECEIVE, peer="a", reason=Reason.VERSION_GONE)
         join.add("s1", gone, "a", now=0.01)
@@ -74,7 +74,7 @@
 
 
 class TestStragglers:
-    def test_the_prompt_policy_waits_a_multiple_of_the_median(self):
+    def test_giving_up_waits_a_multiple_of_the_median(self):
         join = make_join()
         answer(join, "s0", now=0.010)
         answer(join, "s1", now=0.012)
@@ -86,9 +86,10 @@
         join.advance(now=0.0441)
         assert join.is_done
 
-    def test_the_patient_policy_waits_until_the_deadline(self):
-        # A booking missing from an answer is a machine promised twice.
-        join = make_join(PATIENT)
+    def test_wait_for_coverage_waits_until_the_deadline(self):
+        # Guards against answers without a booking, after which a machine is booked
+        # twice.
+        join = make_join(WAIT)
         answer(join, "s0", "s1", "s2")
         assert join.next_wake() == 0.28
         join.advance(now=0.279)
@@ -96,7 +97,7 @@
         join.advance(now=0.28)
         assert join.is_done
 
-    def test_too_little_coverage_is_waited_for_by_the_prompt_policy_too(self):
+    def test_giving_up_waits_while_coverage_is_too_low(self):
         join = make_join()
         answer(join, "s0", "s1")
         assert join.next_wake() == 0.28
--- a/tests/test_pinning.py
+++ b/tests/test_pinning.py
@@ -21,28 +21,28 @@
 
 
 class TestPinning:
-    def test_the_newest_is_chosen_when_nothing_speaks_against_it(self):
+    def test_the_newest_is_chosen_unless_a_shard_lacks_it(self):
         pinning = Pinning(published=publish(6, 7))
         assert pinning.choose(now=0.0).version == 7
 
     def test_a_version_that_was_published_too_early_is_tried_again(self):
-        # The indexer publishes version 8 before the last server has loaded it. Each
-        # query would start at 8, be refused and start over, until it is loaded.
+        # Guards against queries that all start over while a version is published that
+        # some server has not loaded yet.
         pinning = Pinning(published=publish(7, 8))
         pinning.mark_gone(shard="s1", version=8, now=10.0)
         assert pinning.choose(now=10.1).version == 7
         assert pinning.choose(now=10.0 + REFUSAL_RETRY_S).version == 8
 
-    def test_a_version_that_a_shard_left_behind_does_not_come_back(self):
+    def test_a_version_that_a_shard_dropped_is_not_chosen_again(self):
         pinning = Pinning(published=publish(6, 7))
         pinning.observe(shard="s0", versions=(7,), now=1.0)
         pinning.mark_gone(shard="s0", version=6, now=1.0)
         pinning.mark_gone(shard="s1", version=7, now=99.0)
         assert pinning.choose(now=99.5).version == 7
 
-    def test_answers_tell_when_the_new_version_is_everywhere(self):
-        # Freshness: version 8 is used as soon as both shards were heard to have it,
-        # and not before, as a query that is too early goes round twice.
+    def test_a_new_version_is_chosen_once_all_shards_reported_it(self):
+        # A new version is used once all shards reported it, and not before, since a
+        # query pinned too early has to start over.
         pinning = Pinning(published=publish(7))
         for shard in ("s0", "s1"):
             pinning.observe(shard=shard, versions=(7,), now=1.0)
@@ -70,7 +70,7 @@
             pinning.mark_gone(shard=shard, version=version, now=1.0)
         assert pinning.choose(now=1.1).version == 6
 
-    def test_what_is_published_no_longer_is_forgotten(self):
+    def test_records_of_unpublished_versions_are_dropped(self):
         pinning = Pinning(published=publish(1))
         for version in range(2, 200):
             pinning.mark_gone(shard="s0", version=version - 1, now=version)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Owners stand near the servers that they call."""
+"""Owners are chosen near the servers that they call."""
 
 from lavendergap.coordination.placement import Placement
 
@@ -12,7 +12,7 @@
 GROUPS = {f"g{n}": frozenset({"ptl-a", "ptl-b"}) for n in range(20)}
 
 
-def place(own: str, hosts: dict[str, str] = HOSTS) -> Placement:
+def build_placement(own: str, hosts: dict[str, str] = HOSTS) -> Placement:
     placement = Placement(own_data_centre=own)
     placement.replace_hosts(hosts)
     placement.replace_servers(GROUPS)
@@ -20,30 +20,29 @@
 
 
 class TestNearness:
-    def test_the_own_data_centre_comes_first_where_servers_stand_there(self):
-        # Half of all callers' hosts stand beside a server of each group: their
-        # queries need no byte between data centres.
+    def test_the_own_data_centre_is_first_if_it_has_servers(self):
+        # Guards against traffic between data centres for groups that have a server in
+        # the own one.
         for own in ("ptl-a", "ptl-b"):
-            owners = {place(own).rank(group)[0] for group in GROUPS}
+            owners = {build_placement(own).rank(group)[0] for group in GROUPS}
             assert {HOSTS[owner] for owner in owners} == {own}
             assert len(owners) == 2
 
-    def test_elsewhere_one_data_centre_of_the_servers_is_asked(self):
-        placement = place("sea-a")
+    def test_without_local_servers_one_data_centre_is_asked(self):
+        placement = build_placement("sea-a")
         owners = {placement.rank(group)[0] for group in GROUPS}
         assert len({HOSTS[owner] for owner in owners}) == 1
         assert {HOSTS[owner] for owner in owners} <= {"ptl-a", "ptl-b"}
 
     def test_hosts_of_one_data_centre_agree(self):
-        first, second = place("ptl-a"), place("ptl-a")
+        first, second = build_placement("ptl-a"), build_placement("ptl-a")
         assert [first.rank(g) for g in GROUPS] == [second.rank(g) for g in GROUPS]
 
 
 class TestFewOwners:
-    def test_one_other_data_centre_serves_what_the_own_one_lacks(self):
-        # Four data centres, each group in two that follow each other. From any of
-        # them the groups without a server there have one in common: a query asks two
-        # data centres, and not all four.
+    def test_one_other_data_centre_serves_all_remaining_groups(self):
+        # Each group has servers in two of four data centres. Groups without a server in
+        # the own one all have servers in one other, which must be asked alone.
         names = ["ptl-a", "ptl-b", "sea-a", "sea-b"]
         hosts = {f"{name}-1": name for name in names}
         for own in names:
@@ -61,8 +60,8 @@
 
 
 class TestLoss:
-    def test_a_lost_owner_is_followed_by_its_neighbour(self):
-        placement = place("ptl-a")
+    def test_a_lost_owner_is_replaced_in_its_data_centre(self):
+        placement = build_placement("ptl-a")
         before = {group: placement.rank(group) for group in GROUPS}
         rest = {name: at for name, at in HOSTS.items() if name != "ptl-a-1"}
         placement.replace_hosts(rest)
@@ -70,17 +69,17 @@
             expected = [host for host in ranked if host != "ptl-a-1"][0]
             assert placement.rank(group)[0] == expected == "ptl-a-2"
 
-    def test_a_lost_data_centre_leaves_the_other(self):
+    def test_a_lost_data_centre_is_replaced_by_the_other(self):
         rest = {name: at for name, at in HOSTS.items() if at != "ptl-a"}
-        placement = place("ptl-a", rest)
+        placement = build_placement("ptl-a", rest)
         assert all(HOSTS[placement.rank(g)[0]] == "ptl-b" for g in GROUPS)
 
-    def test_without_a_host_near_the_servers_anyone_owns(self):
-        placement = place("sea-a", {"sea-a-1": "sea-a"})
+    def test_without_a_host_near_the_servers_any_host_owns(self):
+        placement = build_placement("sea-a", {"sea-a-1": "sea-a"})
         assert placement.rank("g1") == ("sea-a-1",)
 
-    def test_a_group_without_servers_has_owners_all_the_same(self):
-        assert place("ptl-a").rank("unknown")
+    def test_a_group_without_servers_has_owners(self):
+        assert build_placement("ptl-a").rank("unknown")
 
 
 class TestBuckets:
@@ -88,7 +87,7 @@
     HOSTS = {f"{name}-{n}": name for name in NAMES for n in range(19)}
     GROUPS = tuple(f"g{n:03}" for n in range(90))
 
-    def place(self, own: str, lost: str = "") -> Placement:
+    def build_placement(self, own: str, lost: str = "") -> Placement:
         servers = {
             group: frozenset(set(self.NAMES) - {self.NAMES[n % 4]})
             for n, group in enumerate(self.GROUPS)
@@ -101,20 +100,22 @@
         return placement
 
     def test_a_query_over_many_shards_asks_few_hosts(self):
-        # 76 hosts and 90 shards with servers in three of four data centres. A weak
-        # host takes 10 ms to send to 25 owners, and a quick query has 36.
+        # Guards against queries over many shards that are sent to many owners.
         for own in self.NAMES:
-            placement = self.place(own)
+            placement = self.build_placement(own)
             owners = {placement.rank(group)[0] for group in self.GROUPS}
             assert len(owners) <= 8
 
-    def test_hosts_everywhere_agree_on_the_owner_in_a_data_centre(self):
-        first, second = self.place("ptl-a"), self.place("ptl-b")
+    def test_hosts_agree_on_the_owner_in_each_data_centre(self):
+        first, second = self.build_placement("ptl-a"), self.build_placement("ptl-b")
         for group in self.GROUPS:
-            mine = first.rank(group)[0]
-            assert mine in second.rank(group) or self.HOSTS[mine] == "ptl-a"
-
-    def test_a_lost_server_moves_its_own_group_only(self):
-        before, after = self.place("ptl-a"), self.place("ptl-a", lost="g007")
+            owner = first.rank(group)[0]
+            assert owner in second.rank(group) or self.HOSTS[owner] == "ptl-a"
+
+    def test_a_lost_server_moves_only_its_group(self):
+        before, after = (
+            self.build_placement("ptl-a"),
+            self.build_placement("ptl-a", lost="g007"),
+        )
         moved = [g for g in self.GROUPS if before.rank(g)[0] != after.rank(g)[0]]
         assert set(moved) <= {"g007"}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -113,7 +113,10 @@
 
 def make_keeper(store: StoredStrikes) -> QuarantineKeeper:
     return QuarantineKeeper(
-        own_name="a-1", store=store, announce=store.told.append, sweeps=lambda: True
+        own_name="a-1",
+        store=store,
+        announce=store.announced.append,
+        sweeps=lambda: True,
     )
 
 
@@ -129,9 +132,9 @@
         strike(keeper)
         strike(keeper, attempt=b"r2", is_trial=True)
         await trio.sleep(0.1)
-        held = keeper._store.held.values()
-        assert [each.is_trial for each in held] == [False, True]
-        assert len({each.content for each in held}) == 1
+        strikes = keeper._store.stored.values()
+        assert [each.is_trial for each in strikes] == [False, True]
+        assert len({each.content for each in strikes}) == 1
 
     async def test_a_store_that_is_away_gets_them_when_it_is_back(
         self, keeper, autojump_clock
@@ -143,7 +146,7 @@
         assert keeper.judge(make_request(), b"") is Standing.HELD
         keeper._store.is_up = True
         await trio.sleep(2.0)
-        assert len(keeper._store.held) == 1
+        assert len(keeper._store.stored) == 1
 
     async def test_what_was_answered_meanwhile_is_not_written(
         self, keeper, autojump_clock
@@ -154,17 +157,17 @@
         keeper.note_answer(make_request(), b"")
         keeper._store.is_up = True
         await trio.sleep(3.0)
-        assert keeper._store.held == {}
+        assert keeper._store.stored == {}
 
     async def test_an_answer_clears_what_the_store_holds(self, keeper, autojump_clock):
         strike(keeper)
         await trio.sleep(0.1)
-        [name] = keeper._store.held
+        [name] = keeper._store.stored
         content = identify_content(make_request(), b"")
         keeper.use_entries({name: content.encode()}, 7)
         keeper.note_answer(make_request(attempt=b"r9"), b"")
         await trio.sleep(0.1)
-        assert keeper._store.held == {}
+        assert keeper._store.stored == {}
         assert keeper.judge(make_request(), b"") is Standing.CLEAR
 
     async def test_a_host_that_starts_reads_them(self, autojump_clock):
@@ -184,11 +187,11 @@
     async def test_old_strikes_leave_the_store(self, keeper, autojump_clock):
         strike(keeper)
         await trio.sleep(0.1)
-        [name] = keeper._store.held
+        [name] = keeper._store.stored
         content = identify_content(make_request(), b"")
         keeper.use_entries({name: content.encode()}, 7)
         await trio.sleep(STRIKE_LIFETIME_S + 10.0)
-        assert keeper._store.held == {}
+        assert keeper._store.stored == {}
 
     async def test_writes_that_wait_are_bounded(self, keeper, autojump_clock):
         # Many servers end at once, each with other requests, and the store is away.
@@ -198,4 +201,4 @@
             keeper.note_ends(request, b"", servers=("i-1",), is_trial=False)
         keeper._store.is_up = True
         await trio.sleep(5.0)
-        assert len(keeper._store.held) <= MAX_UNWRITTEN + 1
+        assert len(keeper._store.stored) <= MAX_UNWRITTEN + 1
