--- a/tests/test_once_machine.py
+++ b/tests/test_once_machine.py
@@ -1,8 +1,8 @@
-"""Walks issuer, witness and resolution through faults that hypothesis chooses.
+"""Tests issuer, witness and resolution under faults that hypothesis chooses.
 
-The steps are those of model/once.pml, on the real code: any message may be late,
-lost, doubled or out of order; issuer and witness may die, and pauses are messages
-that wait while the rest goes on.
+The steps are those of model/once.pml, on the real code: any message may be late, lost,
+duplicated or out of order, and issuer and witness may die. A pause is modelled by
+messages that are delivered late.
 """
 
 from collections import Counter, defaultdict
@@ -45,14 +45,14 @@
 
 SHED = NotRun(step=Step.SEND, peer="ledger-a", reason=Reason.SHED)
 LOST = Unknown(step=Step.RECEIVE, peer="ledger-a", reason=Reason.LOST_CONNECTION)
-# Counted from the newest; -1 is the oldest.
+# Indexes from the newest item; -1 is the oldest.
 CHOICE = st.sampled_from([0, 1, -1, 0, 1, -1, 2, 3, 4, 5, 6, 7])
 MAX_LIVES = 5
 MAX_TICKETS = 6
 
 
 def having(fault):
-    """Allow a rule where the machine has this fault and someone holds a ticket."""
+    """Enable a rule only if the machine has this fault and has issued a ticket."""
     return precondition(lambda self: fault in self.faults and self.tickets)
 
 
@@ -147,7 +147,7 @@
 
     def deliver_message(self, message, *, again):
         what, peer, content = message
-        # What goes over one connection to a backend server comes once or never.
+        # A message over a connection to a backend server is delivered at most once.
         if not again or what == "backend":
             self.in_flight.remove(message)
         match what:
@@ -199,8 +199,8 @@
             self.open_witness()
 
     def take_call(self, ticket):
-        # The host that has the request is the issuer's or passes it there; another
-        # life of the issuer refuses it, and the witness is asked.
+        # A host passes a request on to its issuer. A later process of the issuer
+        # refuses it, and then the witness is asked.
         match self.issuer.begin(ticket, body=b"{}", now=self.now):
             case RecordStarted() as message:
                 self.in_flight.append(("witness", ticket.witness, message))
@@ -288,12 +288,12 @@
     suppress_health_check=list(HealthCheck),
     database=None,
 )
-# A variant only has to be found, not made short.
+# The failure of a variant only has to be found, not shrunk.
 FIND = settings(SEARCH, max_examples=1500, phases=[Phase.generate])
 
 
 class TestAtMostOnce:
-    """The real parts keep the promises in every walk."""
+    """The real classes hold the invariants in every run."""
 
     def test_no_walk_breaks_a_promise(self):
         run_state_machine_as_test(OnceMachine, settings=SEARCH)
@@ -350,10 +350,10 @@
 
 
 class TestVariantsWithoutSafeguard:
-    """The machine finds a broken promise once any one safeguard is taken out.
+    """Each variant without one safeguard violates an invariant in some run.
 
-    Each variant meets only the fault that its safeguard is against, if any, so that
-    a short search finds it.
+    A variant is given only the fault that its safeguard is against, if any, so that a
+    short search finds the violation.
     """
 
     @pytest.mark.parametrize(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What is kept from servers, for how long, and what the store holds of it."""
+"""Which request contents are held, for how long, and what the store holds of them."""
 
 from random import Random
 
@@ -36,7 +36,7 @@
 
 
 class TestContents:
-    def test_repeats_share_it_whatever_else_they_say(self):
+    def test_repeats_have_the_same_content_id(self):
         first = make_request(attempt=b"r1")
         again = ForwardedRequest(
             method=b"GET",
@@ -49,21 +49,21 @@
     @pytest.mark.parametrize(
         ("target", "body"), [(b"/b", b""), (b"/a?b", b""), (b"/a", b"b")]
     )
-    def test_what_asks_for_something_else_does_not(self, target, body):
+    def test_other_requests_have_other_content_ids(self, target, body):
         other = identify_content(make_request(target), body)
         assert other != identify_content(make_request(b"/a"), b"")
 
 
 class TestStanding:
-    def test_strikes_of_one_moment_are_one_suspicion(self):
-        # All servers of a group end at once: every request that was under way there is
-        # struck, a popular one at each host. None of them has been tried by itself.
+    def test_strikes_without_a_trial_only_make_a_content_suspect(self):
+        # Guards against a hold of innocent requests: when all servers of a group crash,
+        # every request there gets strikes, but none was tried on a single server.
         quarantine = Quarantine()
         for n in range(20):
             quarantine.add(make_strike(f"c.{n}"), now=0.0)
         assert quarantine.judge("c", now=0.0) is Standing.SUSPECT
 
-    def test_a_trial_under_which_a_server_ended_holds_it_for_a_time(self):
+    def test_a_trial_that_crashed_a_server_holds_the_content_for_a_time(self):
         quarantine = Quarantine()
         quarantine.add(make_strike("c.1"), now=0.0)
         quarantine.add(make_strike("c.2", is_trial=True), now=5.0)
@@ -72,20 +72,20 @@
         quarantine.expire(now=5.0 + STRIKE_LIFETIME_S)
         assert quarantine.judge("c", now=5.0 + STRIKE_LIFETIME_S) is Standing.CLEAR
 
-    def test_other_contents_are_not_touched(self):
+    def test_other_contents_stay_clear(self):
         quarantine = Quarantine()
         quarantine.add(make_strike("c.1", is_trial=True), now=0.0)
         assert quarantine.judge("d", now=0.0) is Standing.CLEAR
 
-    def test_a_flood_of_contents_is_bounded(self):
+    def test_the_number_of_strikes_is_bounded(self):
         quarantine = Quarantine()
-        taken = [
+        added = [
             quarantine.add(make_strike(f"c{n}.1"), now=0.0)
             for n in range(MAX_STRIKES + 5)
         ]
-        assert sum(taken) == MAX_STRIKES
+        assert sum(added) == MAX_STRIKES
 
-    def test_the_copies_agree_in_whatever_order_strikes_come(self):
+    def test_hosts_agree_for_any_order_of_strikes(self):
         strikes = [make_strike(f"c.{n}", is_trial=n == 3) for n in range(5)]
         for seed in range(5):
             quarantine = Quarantine()
@@ -94,7 +94,7 @@
             quarantine.replace_stored(strikes, now=1.0)
             assert quarantine.judge("c", now=1.0) is Standing.HELD
 
-    def test_what_an_operator_removes_from_the_store_is_free(self):
+    def test_a_content_removed_from_the_store_is_clear(self):
         quarantine = Quarantine()
         own = make_strike("c.1", is_trial=True)
         quarantine.add(own, now=0.0)
@@ -128,7 +128,7 @@
 
 
 class TestKeeper:
-    async def test_strikes_outlast_the_host_in_the_store(self, keeper, autojump_clock):
+    async def test_strikes_are_written_to_the_store(self, keeper, autojump_clock):
         strike(keeper)
         strike(keeper, attempt=b"r2", is_trial=True)
         await trio.sleep(0.1)
@@ -136,10 +136,10 @@
         assert [each.is_trial for each in strikes] == [False, True]
         assert len({each.content for each in strikes}) == 1
 
-    async def test_a_store_that_is_away_gets_them_when_it_is_back(
+    async def test_strikes_are_written_after_an_outage_of_the_store(
         self, keeper, autojump_clock
     ):
-        # Meanwhile they count here all the same.
+        # Until then the strikes count at this host.
         keeper._store.is_up = False
         strike(keeper, is_trial=True)
         await trio.sleep(10.0)
@@ -148,7 +148,7 @@
         await trio.sleep(2.0)
         assert len(keeper._store.stored) == 1
 
-    async def test_what_was_answered_meanwhile_is_not_written(
+    async def test_strikes_cleared_during_an_outage_are_not_written(
         self, keeper, autojump_clock
     ):
         keeper._store.is_up = False
@@ -159,7 +159,7 @@
         await trio.sleep(3.0)
         assert keeper._store.stored == {}
 
-    async def test_an_answer_clears_what_the_store_holds(self, keeper, autojump_clock):
+    async def test_an_answer_removes_the_stored_strikes(self, keeper, autojump_clock):
         strike(keeper)
         await trio.sleep(0.1)
         [name] = keeper._store.stored
@@ -170,7 +170,7 @@
         assert keeper._store.stored == {}
         assert keeper.judge(make_request(), b"") is Standing.CLEAR
 
-    async def test_a_host_that_starts_reads_them(self, autojump_clock):
+    async def test_a_host_that_starts_reads_stored_strikes(self, autojump_clock):
         keeper = make_keeper(StoredStrikes())
         content = identify_content(make_request(), b"")
         keeper.use_entries({f"{content}.trial": content.encode()}, 7)
@@ -178,13 +178,15 @@
         refusal = keeper.refuse(make_request(), b"", peer="r")
         assert refusal.retry_after_ms == HOLD_S * 1_000
 
-    async def test_nonsense_in_the_store_holds_nothing_back(self, autojump_clock):
+    async def test_an_invalid_stored_entry_is_ignored(self, autojump_clock):
         keeper = make_keeper(StoredStrikes())
         content = identify_content(make_request(), b"")
         keeper.use_entries({"x": b"", f"{content}.trial": content.encode()}, 7)
         assert keeper.judge(make_request(), b"") is Standing.HELD
 
-    async def test_old_strikes_leave_the_store(self, keeper, autojump_clock):
+    async def test_expired_strikes_are_removed_from_the_store(
+        self, keeper, autojump_clock
+    ):
         strike(keeper)
         await trio.sleep(0.1)
         [name] = keeper._store.stored
@@ -193,8 +195,9 @@
         await trio.sleep(STRIKE_LIFETIME_S + 10.0)
         assert keeper._store.stored == {}
 
-    async def test_writes_that_wait_are_bounded(self, keeper, autojump_clock):
-        # Many servers end at once, each with other requests, and the store is away.
+    async def test_pending_writes_are_bounded(self, keeper, autojump_clock):
+        # Guards against unbounded memory when many servers crash while the store is
+        # down.
         keeper._store.is_up = False
         for n in range(10 * MAX_UNWRITTEN):
             request = make_request(b"/%d" % n)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -24,7 +24,7 @@
 
 HOSTS = [f"ptl-a-{number}" for number in range(1, 8)]
 KEYS = [f"scheduler-{number:02}" for number in range(200)]
-PINNED = ["ptl-a-2", "ptl-a-3", "ptl-a-1"]
+EXPECTED_ORDER = ["ptl-a-2", "ptl-a-3", "ptl-a-1"]
 STEADY = settings(derandomize=True, deadline=None, max_examples=100)
 
 
@@ -33,24 +33,23 @@
         for key in KEYS:
             assert rank_hosts(key, HOSTS) == rank_hosts(key, reversed(HOSTS))
 
-    def test_stands_for_good(self):
-        # Hosts of two releases must agree on owners during a rolling replacement,
-        # so the hash may not change by accident.
-        assert rank_hosts("scheduler-00", HOSTS[:3]) == PINNED
+    def test_the_hash_does_not_change(self):
+        # Guards against a changed hash: hosts of two releases must agree on owners.
+        assert rank_hosts("scheduler-00", HOSTS[:3]) == EXPECTED_ORDER
 
-    def test_only_the_keys_of_a_lost_host_move_and_to_the_next(self):
+    def test_only_the_keys_of_a_lost_host_move_to_the_next(self):
         for key in KEYS:
             ranked = rank_hosts(key, HOSTS)
-            left = [host for host in HOSTS if host != ranked[0]]
-            assert rank_owner(key, left) == ranked[1]
+            remaining = [host for host in HOSTS if host != ranked[0]]
+            assert rank_owner(key, remaining) == ranked[1]
 
-    def test_spreads_evenly(self):
+    def test_keys_are_spread_evenly(self):
         owners = [rank_owner(f"key-{n}", HOSTS) for n in range(7_000)]
         counts = [owners.count(host) for host in HOSTS]
         assert min(counts) > 850
         assert max(counts) < 1_150
 
-    def test_no_host(self):
+    def test_a_key_has_no_owner_without_hosts(self):
         assert rank_owner("scheduler-00", []) is None
         assert Ranking(hosts=frozenset()).rank("scheduler-00") == ()
 
@@ -75,8 +74,8 @@
                 assert len(kept) >= min(2, len(hosts))
 
     def test_an_earlier_ranking_stays_as_it_was(self):
-        # A query that pinned the ranking when it started must not see its owners
-        # change between its first and its last shard.
+        # Guards against owners that change during a query, which keeps the ranking it
+        # started with.
         ranking = Ranking(hosts=frozenset(HOSTS))
         before = ranking.rank(KEYS[0])
         ranking.replace_hosts(frozenset(HOSTS) - {before[0]})
@@ -100,13 +99,17 @@
 
 
 class TestWatchHolders:
-    @pytest.mark.parametrize(("n_hosts", "n_held"), [(1, 1), (2, 2), (7, 2), (550, 2)])
-    def test_a_constant_number_in_different_data_centres(self, n_hosts, n_held):
+    @pytest.mark.parametrize(
+        ("n_hosts", "n_expected"), [(1, 1), (2, 2), (7, 2), (550, 2)]
+    )
+    def test_a_constant_number_of_holders_in_different_data_centres(
+        self, n_hosts, n_expected
+    ):
         members = build_members(n_hosts, 10)
         holders = choose_watch_holders(members, 2)
-        assert len(holders) == n_held
+        assert len(holders) == n_expected
         centres = {m.data_centre for m in members if m.name in holders}
-        assert len(centres) == n_held
+        assert len(centres) == n_expected
 
     def test_the_loss_of_any_data_centre_leaves_a_watch(self):
         for n_hosts in range(4, 60):
@@ -114,19 +117,18 @@
             holders = choose_watch_holders(members, 2)
             assert len({m.data_centre for m in members if m.name in holders}) == 2
 
-    def test_one_data_centre_still_gives_two(self):
+    def test_one_data_centre_has_two_holders(self):
         assert len(choose_watch_holders(build_members(7, 1), 2)) == 2
 
     def test_the_next_takes_over_and_the_other_holder_stays(self):
-        # A holder dies. Were both to change, the platform would get twice the new
-        # watches at each death, and news between them could be missed.
+        # Guards against a second change of holders, in which changes could be missed.
         members = build_members(70, 7)
         first, second = choose_watch_holders(members, 2)
-        left = [m for m in members if m.name != second]
-        assert choose_watch_holders(left, 2)[0] == first
+        remaining = [m for m in members if m.name != second]
+        assert choose_watch_holders(remaining, 2)[0] == first
 
     @pytest.mark.parametrize("state", [MemberState.LEAVING, MemberState.DEAD])
-    def test_those_that_go_hold_nothing(self, state):
+    def test_leaving_and_dead_hosts_hold_no_watch(self, state):
         members = build_members(7, 7)
         first = choose_watch_holders(members, 2)[0]
         gone = [
@@ -146,7 +148,7 @@
 
 class TestPlatformLoad:
     @pytest.mark.parametrize("n_hosts", [7, 25, 50, 100, 200, 550, 5_000])
-    def test_own_reads_are_bounded_whatever_the_fleet(self, n_hosts):
+    def test_reads_are_bounded_for_any_number_of_hosts(self, n_hosts):
         random = Random(1)
         delays = [draw_read_delay(n_hosts, random) for _ in range(20_000)]
         mean = sum(delays) / len(delays)
@@ -154,8 +156,7 @@
         assert min(delays) >= compute_read_interval(n_hosts) / 2
 
     def test_at_550_hosts_and_3300_changes_a_day(self):
-        # The platform takes two thousand reads a second for all its users; a
-        # fleet in which each host watched would hold 1,100 of them for nothing.
+        # Guards against a load on the platform that grows with the number of hosts.
         load = bound_platform_load(
             n_hosts=550, n_holders=2, changes_per_s=3_300 / 86_400
         )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Joining parts by their greatest records."""
+"""Merging parts into their greatest records."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,8 +15,8 @@
 class TestMerging:
     @given(parts=parts, cut=st.integers(0, 6), n_wanted=st.integers(1, 8))
     def test_merging_in_steps_changes_nothing(self, parts, cut, n_wanted):
-        # Owners merge their own parts, the coordinator merges theirs. Whatever part
-        # went through whichever owner, the caller gets the same records.
+        # Owners merge their parts, then the coordinator merges the results: the
+        # distribution of parts over owners must not change the answer.
         whole = merge_greatest(parts, n_wanted=n_wanted)
         steps = [
             merge_greatest(parts[:cut], n_wanted=n_wanted),
@@ -34,5 +34,5 @@
         record = bytes(range(RECORD_BYTES))
         assert merge_greatest([record, record], n_wanted=3) == record * 2
 
-    def test_a_rest_is_no_record(self):
+    def test_an_incomplete_record_is_ignored(self):
         assert merge_greatest([b"\xff" * (RECORD_BYTES - 1)], n_wanted=3) == b""
--- a/tests/test_resolution.py
+++ b/tests/test_resolution.py
@@ -38,14 +38,14 @@
 FORGED = Refused(reason=TicketProblem.FORGED)
 
 
-def doubt(peer, reason):
+def settle_unknown(peer, reason):
     return Settled(
         outcome=Unknown(step=Step.RECORD, peer=peer, reason=reason),
         ask_again_ms=ASK_AGAIN_MS,
     )
 
 
-class TestIssuersWord:
+class TestResolveByIssuer:
     @pytest.mark.parametrize(
         ("reply", "answer"),
         [
@@ -60,30 +60,30 @@
             ),
         ],
     )
-    def test_settles_or_asks_the_witness(self, reply, answer):
+    def test_issuer_reply_settles_or_asks_the_witness(self, reply, answer):
         assert resolve_by_issuer(TICKET, reply) == answer
 
-    def test_without_a_witness_a_lost_issuer_leaves_doubt(self):
+    def test_without_a_witness_a_lost_issuer_gives_unknown(self):
         alone = replace(TICKET, witness=None)
-        answer = doubt("ptl-a-1", Reason.ISSUER_LOST)
+        answer = settle_unknown("ptl-a-1", Reason.ISSUER_LOST)
         assert resolve_by_issuer(alone, IssuerLost()) == answer
 
 
-class TestWitnesssWord:
+class TestResolveByWitness:
     @pytest.mark.parametrize(
         ("reply", "answer"),
         [
             (Started(outcome=BOOKED), Settled(outcome=BOOKED)),
-            (Started(outcome=None), doubt("ptl-a-1", Reason.ISSUER_LOST)),
-            (Forgotten(), doubt("sea-a-1", Reason.EXPIRED)),
-            (WitnessLost(), doubt("sea-a-1", Reason.WITNESS_LOST)),
+            (Started(outcome=None), settle_unknown("ptl-a-1", Reason.ISSUER_LOST)),
+            (Forgotten(), settle_unknown("sea-a-1", Reason.EXPIRED)),
+            (WitnessLost(), settle_unknown("sea-a-1", Reason.WITNESS_LOST)),
             (FORGED, Rejected(reason=TicketProblem.FORGED)),
         ],
     )
-    def test_settles(self, reply, answer):
+    def test_witness_reply_settles(self, reply, answer):
         assert resolve_by_witness(TICKET, reply) == answer
 
-    def test_only_voided_says_not_run(self):
+    def test_only_voided_gives_not_run(self):
         settled = resolve_by_witness(TICKET, Voided())
         assert isinstance(settled, Settled)
         assert isinstance(settled.outcome, NotRun)
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -24,14 +24,14 @@
 
 SECRET = b"k" * 32
 ISSUER = Peer(host="ptl-a-1", incarnation=7)
-ME = Peer(host="sea-a-1", incarnation=9)
+WITNESS = Peer(host="sea-a-1", incarnation=9)
 BOOKED = Answered(body=b"booked")
 LOST = Unknown(step=Step.RECEIVE, peer="ledger-a", reason=Reason.LOST_CONNECTION)
 
 
 def make_witness(**options):
     defaults: dict[str, Any] = {
-        "peer": ME,
+        "peer": WITNESS,
         "max_tickets": 3,
         "ticket_lifetime_ms": 10_000,
     }
@@ -49,11 +49,11 @@
     source = Issuer(
         peer=issuer, secret=SECRET, max_tickets=n, ticket_lifetime_ms=10_000
     )
-    return [source.issue(service="ledger", witness=ME, now=0.0) for _ in range(n)]
+    return [source.issue(service="ledger", witness=WITNESS, now=0.0) for _ in range(n)]
 
 
 class TestStartedAndVoid:
-    """The two exclude each other, whichever comes first."""
+    """The two exclude each other, in either order."""
 
     def test_started_is_never_voided(self):
         witness = make_witness()
@@ -83,13 +83,10 @@
 
 
 class TestForgetting:
-    """A dropped record is never taken for one that never was."""
+    """A dropped record must not be reported as never started."""
 
     def test_dropped_records_are_forgotten(self):
-        """A booking ran, its issuer died, its record was dropped, a caller asks.
-
-        "Never started" would be false; at or below the floor nothing is said.
-        """
+        """Guards against "never started" after the record of a run was dropped."""
         witness = make_witness()
         started, voided, *others = issue(5)
         witness.start(started, now=0.0)
@@ -102,7 +99,7 @@
         assert witness.start(voided, now=10.0) == Forgotten()
         assert witness.start(others[2], now=10.0) == Ack()
 
-    def test_lifetime_ends_a_record(self):
+    def test_records_expire(self):
         witness = make_witness()
         [ticket] = issue(1)
         witness.start(ticket, now=0.0)
@@ -111,22 +108,19 @@
         assert len(witness) == 0
 
     def test_later_life_of_the_host_says_nothing(self):
-        """The witness restarted under the same name and holds no records.
-
-        It is not the process that the ticket names, so it must not void.
-        """
-        witness = make_witness(peer=replace(ME, incarnation=10))
+        """Guards against a void by a restarted witness, which has no records."""
+        witness = make_witness(peer=replace(WITNESS, incarnation=10))
         [ticket] = issue(1)
         for request in (
             RecordStarted(ticket=ticket),
             VoidTicket(ticket=ticket),
             RecordEnded(ticket=ticket, outcome=BOOKED),
-            OpenIssuer(issuer=ISSUER, witness=ME, secret=SECRET),
-            CloseIssuer(issuer=ISSUER, witness=ME),
+            OpenIssuer(issuer=ISSUER, witness=WITNESS, secret=SECRET),
+            CloseIssuer(issuer=ISSUER, witness=WITNESS),
         ):
             assert witness.answer(request, now=0.0) == Forgotten()
 
-    def test_answers_beyond_the_bytes_are_dropped(self):
+    def test_answers_beyond_max_body_bytes_are_dropped(self):
         witness = make_witness(max_body_bytes=10)
         first, second = issue(2)
         witness.end(first, BOOKED, now=0.0)
@@ -136,7 +130,7 @@
 
 
 class TestIssuers:
-    def test_unknown_issuer_is_forgotten_and_takes_no_room(self):
+    def test_unknown_issuer_is_forgotten_without_a_record(self):
         witness = make_witness()
         [ticket] = issue(1, Peer(host="ptl-a-1", incarnation=8))
         assert witness.start(ticket, now=0.0) == Forgotten()
@@ -144,11 +138,7 @@
         assert len(witness) == 0
 
     def test_dropped_issuer_is_not_opened_again(self):
-        """Room ran out, an old issuer was dropped with its records; it opens again.
-
-        The message may be a late copy. Taken in anew, its started ticket could be
-        voided and a caller told "not run" of a booking that ran.
-        """
+        """Guards against a void of a started ticket after a late `OpenIssuer`."""
         witness = make_witness(max_issuers=1)
         [ticket] = issue(1)
         witness.start(ticket, now=0.0)
@@ -157,7 +147,7 @@
         assert open_issuer(witness, ISSUER) == Forgotten()
         assert witness.void(ticket, now=0.0) == Forgotten()
 
-    def test_one_heard_of_lately_is_kept(self):
+    def test_recently_active_issuer_is_kept(self):
         witness = make_witness(max_issuers=2)
         open_issuer(witness, Peer(host="ptl-b-1", incarnation=8))
         [ticket] = issue(1)
@@ -181,7 +171,7 @@
         witness = make_witness()
         started, unused, other = issue(3)
         witness.start(started, now=0.0)
-        closing = CloseIssuer(issuer=ISSUER, witness=ME)
+        closing = CloseIssuer(issuer=ISSUER, witness=WITNESS)
         assert witness.answer(closing, now=0.0) == Kept()
         assert witness.void(unused, now=0.0) == Voided()
         assert witness.start(other, now=0.0) == Void()
@@ -190,9 +180,11 @@
         assert witness.void(started, now=10.0) == Forgotten()
 
     def test_given_up_start_is_kept_as_not_run(self):
-        """The start was lost on the way; the issuer gave up and then died."""
+        """The record of the start was lost; the issuer gave up and then died."""
         witness = make_witness()
         [ticket] = issue(1)
-        not_run = NotRun(step=Step.RECORD, peer=ME.host, reason=Reason.WITNESS_LOST)
+        not_run = NotRun(
+            step=Step.RECORD, peer=WITNESS.host, reason=Reason.WITNESS_LOST
+        )
         assert witness.end(ticket, not_run, now=0.0) == Kept()
         assert witness.void(ticket, now=0.0) == Started(outcome=not_run)
