--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Failures of hosts, ways and clocks, told as stories over a fake network."""
+"""Failures of hosts, network paths and clocks, over a simulated network."""
 
 from dataclasses import replace
 from random import Random
@@ -53,13 +53,15 @@
     return Gossip(source=source, documents=DocumentsDigest(), updates=updates)
 
 
-def hear(membership: Membership, source: Member, *updates: Member, now: float = 1.0):
+def receive_gossip(
+    membership: Membership, source: Member, *updates: Member, now: float = 1.0
+):
     gossip = build_gossip(source, *updates)
     return membership.receive(gossip, sender=source.peers, now=now)
 
 
 def list_states(fleet: Fleet, name: str) -> dict[str, MemberState | None]:
-    """Return what each other running process believes of `name`."""
+    """Return the state that each other running process records for `name`."""
     views = {}
     for other, node in fleet.nodes.items():
         if other != name:
@@ -70,11 +72,11 @@
 
 class TestProbeOutOfTurn:
     def test_a_silent_member_is_suspect_within_an_interval(self):
-        """Guards against a host that is gone until chance brings its turn."""
+        """Guards against a dead host that stays undetected until its turn."""
         membership = build_membership(FIRST)
         others = [build_member(f"ptl-a-{n}") for n in range(2, 60)]
         for other in others:
-            hear(membership, other, now=1.0)
+            receive_gossip(membership, other, now=1.0)
         pinged = {send.to for send in membership.advance(now=1.0)}
         silent = next(other for other in others if other.peers not in pinged)
         [ping] = membership.probe(silent.name, now=1.1)
@@ -84,8 +86,8 @@
         membership.advance(now=1.1 + interval)
         assert silent.name in membership.suspects()
 
-    def test_who_is_not_known_is_not_probed(self):
-        """Guards against an owner of an older view that ends the process."""
+    def test_an_unknown_member_is_not_probed(self):
+        """Guards against a crash when a caller names a member that is gone."""
         assert build_membership(FIRST).probe("ptl-a-9", now=1.0) == []
 
 
@@ -94,8 +96,8 @@
     return member.state if member else None
 
 
-def list_told(sends: list[Send]) -> list[tuple[Address, Member]]:
-    """Return who is told of which members by gossip."""
+def list_updates(sends: list[Send]) -> list[tuple[Address, Member]]:
+    """Return the receivers and records of the updates sent by gossip."""
     return [
         (send.to, member)
         for send in sends
@@ -104,30 +106,28 @@
     ]
 
 
-def believed(fleet: Fleet, name: str, state: MemberState) -> bool:
+def all_record(fleet: Fleet, name: str, state: MemberState) -> bool:
     return set(list_states(fleet, name).values()) == {state}
 
 
 class TestJoining:
-    def test_all_who_know_one_host_find_all(self):
+    def test_hosts_with_one_hint_find_all_others(self):
         fleet = build_fleet(HOSTS, seed=1)
         assert fleet.agree()
         nodes = fleet.nodes.values()
         assert fleet.run_until(lambda: all(n.membership.joined for n in nodes), 2.0)
 
     def test_a_table_over_many_datagrams_arrives_within_seconds(self):
-        # A host that joins a large fleet knows one address. It would hand queries
-        # to the wrong owners while it knows a part of the fleet, and news that
-        # ended before it joined is never told again.
+        # Guards against a new host that knows part of the members and sends queries to
+        # wrong owners: past updates are not sent again.
         fleet = build_fleet(name_hosts(120), seed=2)
         newcomer = fleet.start("ptl-a-121", hints=[FIRST])
         assert fleet.run_until(lambda: len(newcomer.live()) == 121, 3.0)
         assert newcomer.joined
 
     def test_all_hear_of_a_newcomer_within_seconds_of_a_mass_start(self):
-        # 200 hosts start at once, as after a loss of power, and ten seconds later
-        # one more joins. Each had passed on its whole first table; the newcomer's
-        # record waited behind that, and some gave it no work for half a minute.
+        # Guards against new hosts that gossip their whole first table, behind which the
+        # records of hosts that join later would wait.
         fleet = build_fleet(name_hosts(200), seed=200)
         fleet.run(10.0)
         fleet.start("ptl-a-201", hints=[FIRST])
@@ -143,9 +143,8 @@
         assert first.live() == {FIRST}
 
     def test_a_host_that_is_greeted_first_is_ready_soon(self):
-        # Three hosts of one settings file start within a second. One of them is
-        # greeted by the others before its own hints answer, so that it never
-        # learns a table by joining; it then stayed unready for half a minute.
+        # Guards against a host that stays unready because others ping it first, so that
+        # it does not request a table by joining.
         fleet = Fleet(seed=3)
         names = name_hosts(3)
         for name in names:
@@ -154,9 +153,9 @@
         fleet.run(6.0)
         assert all(node.membership.joined for node in fleet.nodes.values())
 
-    def test_a_hint_makes_nobody_live_or_dead(self):
-        # The platform's list still shows a host that is gone and does not show
-        # one that serves. Neither may change who owns what.
+    def test_a_hint_changes_no_member(self):
+        # The platform's list may contain a host that is gone and lack one that is live;
+        # neither may change the owners.
         fleet = build_fleet(HOSTS, seed=4)
         gone = Address(ip="10.9.9.9", port=8101)
         for node in fleet.nodes.values():
@@ -167,16 +166,15 @@
 
 class TestDetection:
     @pytest.mark.parametrize("loss", [0.0, 0.05])
-    def test_a_killed_host_loses_its_work_everywhere(self, loss):
+    def test_a_killed_host_is_dead_everywhere(self, loss):
         fleet = build_fleet(HOSTS, seed=5, loss=loss)
         fleet.stop(THIRD)
         assert fleet.run_until(fleet.agree, 20.0)
-        assert believed(fleet, THIRD, MemberState.DEAD)
+        assert all_record(fleet, THIRD, MemberState.DEAD)
 
     def test_a_way_cut_in_one_direction_kills_nobody(self):
-        # FIRST's datagrams no longer reach SECOND, all other ways work. FIRST sees
-        # no answers from SECOND; without others trying for it the whole fleet
-        # would take SECOND's work away and give it back again and again.
+        # Guards against a suspicion over one cut path: without indirect probes SECOND
+        # would lose its work and get it back repeatedly.
         fleet = build_fleet(HOSTS, seed=6)
         fleet.cut.add((FIRST, SECOND))
         fleet.run(60.0)
@@ -193,15 +191,14 @@
         )
         assert SECOND in first.live()
 
-    def test_a_failed_probe_does_not_blame_the_successor(self):
-        # A probe goes to a process that has just been killed. While it waits, the
-        # process that replaces it is heard of. The old silence proves nothing
-        # about the new process.
+    def test_a_failed_probe_does_not_make_the_successor_suspect(self):
+        # A probe sent to a killed process fails after the record of its successor
+        # arrived; it must not make the successor suspect.
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND))
+        receive_gossip(membership, build_member(SECOND))
         sends = membership.advance(now=1.0)
         assert [s for s in sends if isinstance(s.message, Ping)]
-        hear(membership, build_member(SECOND, incarnation=2_000), now=1.1)
+        receive_gossip(membership, build_member(SECOND, incarnation=2_000), now=1.1)
         for tick in range(12, 25):
             membership._probe_at = 10.0  # No second probe.
             membership.advance(now=tick / 10)
@@ -210,40 +207,38 @@
 
 class TestRefutation:
     def test_a_process_that_wakes_is_taken_back(self):
-        # A host is stopped for five minutes, is declared dead, and wakes. It holds
-        # itself live, so it says nothing new; without a refutation the others
-        # would ignore it for good, and its callers' queries would own nothing.
+        # Guards against a live process that stays dead for the others: it has to
+        # refute, since it has no other update to send.
         fleet = build_fleet(HOSTS, seed=8)
         fleet.pause(THIRD)
         fleet.run(300.0)
-        assert believed(fleet, THIRD, MemberState.DEAD)
+        assert all_record(fleet, THIRD, MemberState.DEAD)
         fleet.resume(THIRD)
         assert fleet.run_until(fleet.agree, 15.0)
         assert fleet.nodes[THIRD].membership.own.refutations > 0
 
     def test_a_process_that_wakes_buries_nobody(self):
-        # All its probes and suspicions have run out while it slept. If it acted on
-        # them it would declare dead who had answered into its full socket queue.
+        # Guards against expired timers that declare live members dead after a pause.
         fleet = build_fleet(HOSTS, seed=9)
         fleet.cut.add((SECOND, FIRST))  # A probe of THIRD's waits when it stops.
         fleet.run(2.0)
         for pause in (3.0, 10.0, 300.0):
             fleet.pause(THIRD)
             fleet.run(pause)
-            woken = fleet.nodes[THIRD]
-            woken.events.clear()
+            resumed = fleet.nodes[THIRD]
+            resumed.events.clear()
             fleet.resume(THIRD)
             fleet.run(15.0)
             states = {
                 event.member.state
-                for _, event in woken.events
+                for _, event in resumed.events
                 if isinstance(event, MemberChanged) and event.member.name != THIRD
             }
             assert states <= {MemberState.LIVE}
 
     def test_wakes_in_a_fleet_of_strangers(self):
-        # A host sleeps while all whom it knew are replaced. It listens to nothing
-        # older than its pause, and nobody it knows answers; only strangers call.
+        # All members that the paused host knew are replaced meanwhile. It ignores older
+        # gossip and gets no answers; only unknown hosts ping it.
         fleet = build_fleet(HOSTS[:3], seed=19)
         fleet.pause(THIRD)
         for old, new in ((FIRST, "ptl-a-8"), (SECOND, "ptl-a-9")):
@@ -255,36 +250,35 @@
         assert fleet.run_until(fleet.agree, 15.0)
 
     def test_a_pause_takes_back_nothing_that_was_known(self):
-        # FIRST alone heard that SECOND leaves, then sleeps. Nobody that it asks on
-        # waking knows SECOND; later an older record of it arrives. SECOND must not
-        # get work again.
+        # Guards against work for a leaving host: only FIRST received that SECOND
+        # leaves, is paused, and then receives an older record of SECOND.
         fleet = build_fleet([FIRST, THIRD], seed=20)
         first = fleet.nodes[FIRST].membership
         third = fleet.nodes[THIRD].membership.own
         fleet.cut_between([FIRST], [THIRD])
         leaving = build_member(SECOND, state=MemberState.LEAVING, refutations=2)
-        hear(first, third, leaving, now=fleet.now)
+        receive_gossip(first, third, leaving, now=fleet.now)
         fleet.pause(FIRST)
         fleet.run(10.0)
         fleet.cut.clear()
         fleet.resume(FIRST)
         fleet.run(20.0)
-        hear(first, third, build_member(SECOND), now=fleet.now)
+        receive_gossip(first, third, build_member(SECOND), now=fleet.now)
         assert first.live() == {FIRST, THIRD}
 
-    def test_the_accused_is_told_before_the_others(self):
+    def test_a_suspect_is_notified_before_the_others(self):
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND), now=0.0)
+        receive_gossip(membership, build_member(SECOND), now=0.0)
         membership.advance(now=0.0)
         membership.advance(now=0.3)
-        to, suspect = list_told(membership.advance(now=1.0))[0]
+        to, suspect = list_updates(membership.advance(now=1.0))[0]
         assert to == build_member(SECOND).peers
         assert suspect.state is MemberState.SUSPECT
 
     def test_refutes_at_once_with_a_higher_order(self):
         accused = build_membership(SECOND)
         suspect = build_member(SECOND, state=MemberState.SUSPECT, refutations=3)
-        [answer] = hear(accused, build_member(FIRST), suspect)
+        [answer] = receive_gossip(accused, build_member(FIRST), suspect)
         assert answer.message.source.refutations == 4
         assert answer.message.source.order > suspect.order
 
@@ -300,43 +294,42 @@
         assert fleet.agree()
 
     def test_a_late_dead_notice_kills_no_successor(self):
-        # A host is killed and restarted at once. Another host, cut off meanwhile,
-        # declares the old process dead and its notice arrives last. Taken at its
-        # word it would stop the new process's work everywhere.
+        # Guards against a late record of the old process's death that would stop the
+        # work of its successor.
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND, incarnation=2_000))
+        receive_gossip(membership, build_member(SECOND, incarnation=2_000))
         late = build_member(SECOND, state=MemberState.DEAD, refutations=9)
-        hear(membership, build_member(THIRD), late)
+        receive_gossip(membership, build_member(THIRD), late)
         assert get_state(membership, SECOND) is MemberState.LIVE
         assert SECOND in membership.live()
 
     def test_what_a_replaced_process_says_is_ignored(self):
-        # The old process at an address was paused, not dead. It wakes and accuses
-        # others from its old table.
+        # A replaced process that was paused resumes and sends suspicions from its old
+        # table.
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND, incarnation=2_000))
-        hear(membership, build_member(THIRD))
+        receive_gossip(membership, build_member(SECOND, incarnation=2_000))
+        receive_gossip(membership, build_member(THIRD))
         accusation = build_member(THIRD, state=MemberState.DEAD)
-        reply = hear(membership, build_member(SECOND), accusation)
+        reply = receive_gossip(membership, build_member(SECOND), accusation)
         assert get_state(membership, THIRD) is MemberState.LIVE
-        [(_, told)] = list_told(reply)
-        assert told.incarnation == 2_000
+        [(_, record)] = list_updates(reply)
+        assert record.incarnation == 2_000
 
     def test_a_replaced_process_falls_silent(self):
-        # Two processes of one name would refute each other for ever, and each
-        # would think that it owns what the other runs.
+        # Guards against two processes of one name that refute each other for ever and
+        # both own the same groups.
         old = build_membership(SECOND)
-        hear(old, build_member(FIRST), now=0.0)
-        hear(
+        receive_gossip(old, build_member(FIRST), now=0.0)
+        receive_gossip(
             old, build_member(FIRST), build_member(SECOND, incarnation=2_000), now=100.0
         )
         assert old.superseded
         assert old.advance(now=101.0) == []
-        assert hear(old, build_member(FIRST), now=102.0) == []
+        assert receive_gossip(old, build_member(FIRST), now=102.0) == []
 
     def test_a_clock_that_was_set_back_does_not_silence_a_restart(self):
-        # A host restarts with its clock an hour behind: its stamp is lower than
-        # that of the process before it, so all would take it for the old one.
+        # Guards against a restarted host that is ignored because its clock was set back
+        # and its incarnation is lower than before.
         fleet = build_fleet(HOSTS, seed=11)
         before = fleet.nodes[THIRD].membership.own.incarnation
         fleet.stop(THIRD)
@@ -353,12 +346,12 @@
         fleet.send(THIRD, leaving.leave(now=fleet.now))
         assert fleet.run_until(fleet.agree, 2.0)
         fleet.run(60.0)
-        assert believed(fleet, THIRD, MemberState.LEAVING)
+        assert all_record(fleet, THIRD, MemberState.LEAVING)
         assert THIRD not in leaving.live()
 
-    def test_a_suspicion_gives_it_no_work_again(self):
-        # A host leaves and its datagrams are lost for a moment. Were it marked
-        # suspect like others, the fleet would send it new work just then.
+    def test_a_suspicion_gives_a_leaving_host_no_work(self):
+        # Guards against new work for a leaving host that becomes suspect, as suspects
+        # keep their work.
         fleet = build_fleet(HOSTS, seed=13)
         leaving = fleet.nodes[THIRD].membership
         fleet.send(THIRD, leaving.leave(now=fleet.now))
@@ -369,20 +362,19 @@
             assert not any(
                 THIRD in view for name, view in fleet.views().items() if name != THIRD
             )
-        assert believed(fleet, THIRD, MemberState.DEAD)
+        assert all_record(fleet, THIRD, MemberState.DEAD)
 
     def test_departing_needs_no_detection(self):
         fleet = build_fleet(HOSTS, seed=14)
         fleet.send(THIRD, fleet.nodes[THIRD].membership.depart(now=fleet.now))
         fleet.stop(THIRD)
-        assert fleet.run_until(lambda: believed(fleet, THIRD, MemberState.DEAD), 2.0)
+        assert fleet.run_until(lambda: all_record(fleet, THIRD, MemberState.DEAD), 2.0)
 
 
 class TestReplacement:
     def test_all_hosts_are_replaced_one_by_one(self):
-        # A release replaces each host by one of another name and address. Each
-        # newcomer is told of one host only, and in the end none of the first
-        # hosts is left whom anybody was configured to ask.
+        # Each host is replaced by one of another name and address that has one hint
+        # only; in the end none of the configured hosts is left.
         fleet = build_fleet(HOSTS, seed=21, loss=0.05)
         for number, old in enumerate(HOSTS, 11):
             membership = fleet.nodes[old].membership
@@ -394,14 +386,13 @@
             assert fleet.run_until(fleet.agree, 10.0)
         assert not set(HOSTS) & set(fleet.nodes)
 
-    def test_a_host_that_can_only_hear_is_taken_back_when_it_can_speak(self):
-        # A filter drops all that one host sends. It hears that it is dead and
-        # refutes, unheard; once the filter is gone it must be taken back without
-        # a restart.
+    def test_a_host_that_could_only_receive_is_live_once_it_can_send(self):
+        # Guards against a host that needs a restart after all that it sends, its
+        # refutations included, was dropped for a time.
         fleet = build_fleet(HOSTS, seed=22)
         fleet.cut.update((THIRD, other) for other in HOSTS)
         fleet.run(120.0)
-        assert believed(fleet, THIRD, MemberState.DEAD)
+        assert all_record(fleet, THIRD, MemberState.DEAD)
         fleet.cut.clear()
         assert fleet.run_until(fleet.agree, 15.0)
 
@@ -416,9 +407,8 @@
         return fleet
 
     def test_each_side_goes_on_and_both_heal_after_an_hour(self):
-        # Two regions lose each other for an hour. Each declares the other dead and
-        # serves alone. Then the way is back, but nobody probes the dead, so
-        # without trying them the views would stay apart for good.
+        # Guards against regions that stay partitioned after the path is restored,
+        # because dead members are not probed.
         fleet = self.build_cut(3_600.0)
         views = fleet.views()
         assert views[self.NAMES[0]] == frozenset(self.NAMES[:10])
@@ -426,9 +416,9 @@
         fleet.cut.clear()
         assert fleet.run_until(fleet.agree, 30.0)
 
-    def test_healing_takes_nobody_s_work_away(self):
-        # The regions meet again; meanwhile no host of either side may lose its
-        # work in the eyes of its own side, or shards would move for nothing.
+    def test_healing_keeps_hosts_live_in_their_own_region(self):
+        # Guards against hosts that lose their work within their own region while the
+        # tables of both are merged.
         fleet = self.build_cut(60.0)
         fleet.cut.clear()
         for _ in range(300):
@@ -446,12 +436,10 @@
         ],
     )
     def test_the_dead_of_another_s_table_are_doubted(self, state, expected):
-        # When the regions meet, each one's table holds the whole other one dead.
-        # Believed at once it would kill every host in its own region, until each
-        # has refuted: all shards would move twice within seconds. One that leaves
-        # must not turn into a suspect either, since a suspect keeps getting work.
+        # Guards against a received table that ends the work of live hosts until they
+        # refute, or turns a leaving host into a suspect, which gets work.
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND, state=state))
+        receive_gossip(membership, build_member(SECOND, state=state))
         may_own = SECOND in membership.live()
         dead = build_member(SECOND, state=MemberState.DEAD)
         table = Table(source=build_member(THIRD), members=(dead,))
@@ -463,9 +451,8 @@
         assert get_state(membership, SECOND) is MemberState.DEAD
 
     def test_news_that_ended_during_a_short_cut_is_found_by_comparing(self):
-        # A host is cut off for two seconds, too short to be missed, while five
-        # others start to leave. What is told a bounded number of times is over
-        # when the way is back, and the host would go on giving them work.
+        # Guards against updates that are lost for good: a record is sent a bounded
+        # number of times, and the cut is too short to be detected.
         fleet = build_fleet(self.NAMES, seed=16)
         cut_off = self.NAMES[5]
         fleet.cut_between([cut_off], [n for n in self.NAMES if n != cut_off])
@@ -475,7 +462,7 @@
         fleet.run(2.0)
         fleet.cut.clear()
         for name in self.NAMES[20:25]:
-            # Direct probes would tell it too, each within a round of the fleet.
+            # Direct probes, one in each round, would deliver the records, too.
             fleet.cut.add((name, cut_off))
         assert fleet.run_until(fleet.agree, 45.0)
 
@@ -483,13 +470,13 @@
 class TestTombstones:
     def test_old_gossip_does_not_bring_back_the_dead(self):
         membership = build_membership(FIRST)
-        hear(membership, build_member(SECOND))
-        hear(
+        receive_gossip(membership, build_member(SECOND))
+        receive_gossip(
             membership,
             build_member(THIRD),
             build_member(SECOND, state=MemberState.DEAD),
         )
-        hear(membership, build_member(THIRD), build_member(SECOND))
+        receive_gossip(membership, build_member(THIRD), build_member(SECOND))
         assert SECOND not in membership.live()
 
     def test_they_are_bounded_in_time_and_number(self):
@@ -504,9 +491,8 @@
         assert roster.dead_since(0.0) == []
 
     def test_a_process_that_slept_for_days_brings_nobody_back(self):
-        # A host is killed while another sleeps, so long that the others forget
-        # that it died. The sleeper wakes with a table in which it lives and
-        # compares tables with the others, one of them new.
+        # Guards against a dead member brought back by a process that was paused until
+        # the others dropped its tombstone.
         fleet = build_fleet(HOSTS, seed=17)
         fleet.pause(FIRST)
         fleet.stop(THIRD)
@@ -526,8 +512,7 @@
         assert fleet.agree()
 
     def test_tables_do_not_pass_tombstones_on(self):
-        # Each host that learns of a dead member remembers it for a day. If tables
-        # passed it to newcomers, it would go on from one to the next for ever.
+        # Guards against tombstones that new hosts pass on to each other for ever.
         membership = build_membership(FIRST)
         dead = build_member(THIRD, state=MemberState.DEAD)
         table = Table(source=build_member(SECOND), members=(dead,))
@@ -536,16 +521,16 @@
 
 
 class TestCost:
-    def test_each_record_is_told_a_bounded_number_of_times(self):
-        news = Dissemination()
+    def test_each_record_is_sent_a_bounded_number_of_times(self):
+        dissemination = Dissemination()
         for number in range(20):
-            news.add(build_member(f"ptl-a-{number}"))
-        taken = [member.name for _ in range(200) for member in news.take(550)]
+            dissemination.add(build_member(f"ptl-a-{number}"))
+        taken = [member.name for _ in range(200) for member in dissemination.take(550)]
         assert {taken.count(name) for name in set(taken)} == {limit_sends(550)}
         assert len(set(taken)) == 20
-        assert not news
+        assert not dissemination
 
-    def test_a_quiet_fleet_sends_a_probe_each_second_whatever_its_size(self):
+    def test_an_idle_fleet_sends_a_probe_each_second_for_any_size(self):
         rates = []
         for n_hosts in (10, 100):
             fleet = build_fleet(name_hosts(n_hosts), seed=18)
@@ -568,9 +553,8 @@
 
 class TestTiming:
     def test_an_edit_of_the_timing_is_in_force_without_a_restart(self):
-        # An operator shortens the time after which a silent host is given up. Were
-        # the timing read at the start only, a host that says it has the edit in
-        # force would go on as before until its next restart.
+        # Guards against timing settings that are read at the start only, although the
+        # host reports them as in force.
         fleet = build_fleet(HOSTS, seed=1)
         control = Control(probe_interval_ms=100, probe_timeout_ms=30, suspect_ms=200)
         for node in fleet.nodes.values():
