--- a/src/lavendergap/coordination/catalog.py
+++ b/src/lavendergap/coordination/catalog.py
@@ -100,7 +100,7 @@
     if before is not None and before.table is table:
         named_groups, sets = before.named_groups, before.sets
     else:
-        named_groups, sets = _list_groups(table), _list_sets(table)
+        named_groups, sets = _list_groups(table), _list_shard_sets(table)
     serving: dict[str, list[RegisteredServer]] = {group: [] for group in named_groups}
     for server in servers:
         if not server.is_draining and server.data_centre not in evacuated:
@@ -190,7 +190,7 @@
     return frozenset(groups)
 
 
-def _list_sets(table: RouteTable) -> tuple[tuple[str, ...], ...]:
+def _list_shard_sets(table: RouteTable) -> tuple[tuple[str, ...], ...]:
     found = {
         route.target.groups: None
         for route in table.routes
--- a/src/lavendergap/coordination/dissemination.py
+++ b/src/lavendergap/coordination/dissemination.py
@@ -11,14 +11,15 @@
 MAX_UPDATE_BYTES = 600
 """Space for piggybacked records in one datagram."""
 
+# Encoded size of a record without its texts, and the most that a text is padded by.
 _RECORD_BYTES = 88
-_LENGTH_BYTES = 8
+_PADDING_BYTES = 8
 
 
 def estimate_bytes(member: Member) -> int:
     """Return an upper bound of the size of an encoded record."""
     n_bytes = len(member.name.encode()) + len(member.data_centre.encode())
-    return _RECORD_BYTES + n_bytes + 2 * _LENGTH_BYTES
+    return _RECORD_BYTES + n_bytes + 2 * _PADDING_BYTES
 
 
 def limit_sends(n_members: int) -> int:
--- a/src/lavendergap/coordination/documents.py
+++ b/src/lavendergap/coordination/documents.py
@@ -11,8 +11,9 @@
 MAX_DIGEST_BYTES = 400
 """Space for the listed versions in one datagram."""
 
+# Encoded size of an entry without its name, and the most that a name is padded by.
 _ENTRY_BYTES = 24
-_LENGTH_BYTES = 8
+_PADDING_BYTES = 8
 
 Checker = Callable[[str, bytes], str | None]
 """Given a document's name and body, returns why it can't be used, or None."""
@@ -213,7 +214,7 @@
     newest = []
     for entry in versions:
         fingerprint ^= xxh3_64_intdigest(f"{entry.name}\0{entry.version}".encode())
-        n_bytes += _ENTRY_BYTES + len(entry.name.encode()) + _LENGTH_BYTES
+        n_bytes += _ENTRY_BYTES + len(entry.name.encode()) + _PADDING_BYTES
         if n_bytes <= MAX_DIGEST_BYTES:
             newest.append(entry)
     return DocumentsDigest(
--- a/src/lavendergap/coordination/ranking.py
+++ b/src/lavendergap/coordination/ranking.py
@@ -8,6 +8,7 @@
 RANKING_DEPTH = 4
 """How many hosts a `Ranking` keeps for each key: the owner and its successors."""
 
+# With fewer hosts left for a key, its ranking is computed anew.
 _MIN_RANKED = 2
 
 
--- a/src/lavendergap/coordination/watchers.py
+++ b/src/lavendergap/coordination/watchers.py
@@ -9,7 +9,7 @@
 
 WATCH_KEY = "watch"
 MIN_READ_INTERVAL_S = 20.0
-"""Shortest mean interval between the reads of one host that holds no watch."""
+"""Shortest mean interval between one host's own reads of the platform."""
 
 MAX_READS_PER_S = 0.5
 """Limit on the calls for these reads by all hosts together, for any number of hosts."""
