--- a/lab/callcost.py
+++ b/lab/callcost.py
@@ -1,9 +1,9 @@
-"""What a call to a backend server costs a host: processor time and turns of the loop.
+"""Measures the processor time and event loop iterations per backend call.
 
-One process calls servers of a second one, which answer at once, as an owner does for
-queries of many shards: bursts of calls to groups, each answer joined to its query. Run
-with `python -m lab.callcost`; it prints microseconds of processor time and turns of
-the loop for each call, and what a turn without calls costs.
+An owner in this process calls backend servers in a second process, which answer at
+once, in bursts of one call per group, as for queries over many shards. Run with
+`python -m lab.callcost`; it prints processor time in microseconds, loop iterations
+("turns") and task steps per call.
 """
 
 import multiprocessing
@@ -36,7 +36,7 @@
 
 
 class TurnCounter(trio.abc.Instrument):
-    """Counts the loop's waits for input and its tasks' steps."""
+    """Counts event loop iterations and task steps."""
 
     def __init__(self) -> None:
         self.n_turns = 0
@@ -156,14 +156,14 @@
         for _ in range(20):
             await _query(owner, settings)
         counter.n_turns = counter.n_steps = 0
-        began = time.process_time()
+        started_s = time.process_time()
         n_calls = 0
         for _ in range(n_queries):
             n_calls += await _query(owner, settings)
             await trio.sleep(pause)
-        took = time.process_time() - began
+        cpu_s = time.process_time() - started_s
         print(
-            f"calls={n_calls} us_a_call={1e6 * took / n_calls:.0f}"
+            f"calls={n_calls} us_a_call={1e6 * cpu_s / n_calls:.0f}"
             f" turns_a_call={counter.n_turns / n_calls:.2f}"
             f" steps_a_call={counter.n_steps / n_calls:.2f}"
         )
@@ -171,11 +171,13 @@
 
 
 @click.command()
-@click.option("--groups", default=5, show_default=True, help="Shards an owner has.")
+@click.option("--groups", default=5, show_default=True, help="Shards of the owner.")
 @click.option("--queries", default=600, show_default=True)
-@click.option("--pause", default=0.005, show_default=True, help="Seconds between.")
+@click.option(
+    "--pause", default=0.005, show_default=True, help="Seconds between queries."
+)
 def main(groups: int, queries: int, pause: float) -> None:
-    """Print what a call costs an owner of some groups."""
+    """Print the cost of a backend call for an owner of some groups."""
     ports: multiprocessing.Queue[int] = multiprocessing.Queue()
     servers = multiprocessing.Process(
         target=_serve, args=(2 * groups, ports), daemon=True
--- a/lab/callersport.py
+++ b/lab/callersport.py
@@ -1,8 +1,8 @@
-"""Measures the callers' port: HTTP in, JSON out, with nothing behind it.
+"""Measures the callers' port alone: HTTP parsing and JSON encoding, no backend.
 
-The port is served as by the daemon; each query is answered at once with the results
-of so many shards. The one caller is a bare socket with its bytes made beforehand, in
-the same process: its reads and writes are in the figure.
+The port is served as by the daemon; each query is answered at once with fixed results
+for a number of shards. The only caller is a plain socket in the same process that sends
+prepared bytes, so that the result includes the cost of its reads and writes.
 """
 
 import time
@@ -31,11 +31,11 @@
 
 
 def make_results(n_shards: int, body: bytes) -> tuple[ShardResult, ...]:
-    """Return the results of some shards."""
+    """Return the same result for each of `n_shards` shards."""
     return tuple(ShardResult(shard=f"s{n:04}", result=body) for n in range(n_shards))
 
 
-class Port:
+class FixedAnswerApp:
     """An application that answers each query with the same results."""
 
     def __init__(self, *, body: bytes) -> None:
@@ -44,7 +44,7 @@
         self.settings = parse_settings(make_text(130), file="lab", version=1)
 
     async def search(self, request: CallerRequest) -> SearchResult | Refusal:
-        """Answer a query at once."""
+        """Return the fixed results."""
         n = len(self.results)
         return SearchResult(
             request_id=request.request_id,
@@ -54,8 +54,8 @@
             results=self.results,
         )
 
-    async def refuse(self, *given: object) -> Refusal:
-        """Take no booking."""
+    async def reject_booking(self, *given: object) -> Refusal:
+        """Raise NotImplementedError: this application takes no bookings."""
         raise NotImplementedError
 
     def build_app(self) -> CallersApp:
@@ -63,17 +63,17 @@
         handlers = Handlers(
             get_settings=lambda: self.settings,
             search=self.search,
-            issue=self.refuse,
-            run=self.refuse,
-            look_up=self.refuse,
+            issue=self.reject_booking,
+            run=self.reject_booking,
+            look_up=self.reject_booking,
             is_leaving=lambda: False,
             get_unsettled=str,
         )
         return CallersApp(handlers=handlers)
 
 
-async def ask(stream: trio.SocketStream) -> None:
-    """Send one query and read its whole answer."""
+async def send_query(stream: trio.SocketStream) -> None:
+    """Send one query and read its complete answer."""
     await stream.send_all(REQUEST)
     received = b""
     while b"\r\n\r\n" not in received:
@@ -90,26 +90,26 @@
 async def measure_caller(
     sizes: tuple[int, ...], body: bytes, n_runs: int
 ) -> dict[int, float]:
-    """Return the least processor microseconds of a query by its shards."""
-    points: dict[int, float] = {}
-    port = Port(body=body)
+    """Return the minimum processor time of a query in microseconds, by shard count."""
+    least_us: dict[int, float] = {}
+    app = FixedAnswerApp(body=body)
     stop = trio.Event()
-    [number] = find_free_ports(1)
-    address = Address(ip=HOST, port=number)
+    [port_number] = find_free_ports(1)
+    address = Address(ip=HOST, port=port_number)
     async with trio.open_nursery() as nursery:
         serve = partial(
-            serve_port, port.build_app(), address, stop=stop, drain_limit=1.0
+            serve_port, app.build_app(), address, stop=stop, drain_limit=1.0
         )
         await nursery.start(serve)
-        stream = await trio.open_tcp_stream(HOST, number)
+        stream = await trio.open_tcp_stream(HOST, port_number)
         for _ in range(n_runs):
             for n in sizes:
-                port.results = make_results(n, body)
-                began = time.process_time()
+                app.results = make_results(n, body)
+                started_s = time.process_time()
                 for _ in range(N_REQUESTS):
-                    await ask(stream)
-                spent = (time.process_time() - began) / N_REQUESTS * 1e6
-                points[n] = min(spent, points.get(n, spent))
+                    await send_query(stream)
+                spent_us = (time.process_time() - started_s) / N_REQUESTS * 1e6
+                least_us[n] = min(spent_us, least_us.get(n, spent_us))
         await stream.aclose()
         stop.set()
-    return points
+    return least_us
--- a/lab/controltables.py
+++ b/lab/controltables.py
@@ -3,26 +3,26 @@
 from lavendergap.coordination.watchers import bound_platform_load
 
 from .sizes import (
-    CONTROL_CORE,
+    CONTROL_CORE_SHARE,
     CONTROL_KB_PER_S,
     CONTROL_MB,
     DEADLINE_S,
     EDITS_PER_S,
-    GROUPS_A_HOST,
+    GROUPS_PER_HOST,
     MAX_TICKETS,
-    MICRO,
     N_HOSTS,
     N_LEAFS,
-    QUERIES_A_HOST,
-    SHARDS_A_QUERY,
+    QUERIES_PER_S_PER_HOST,
+    S_PER_US,
+    SHARDS_PER_QUERY,
     WATCH_HOLDERS,
 )
-from .slopes import UNKNOWN, Store, add, make_table, multiply, show
+from .slopes import UNKNOWN, FigureStore, add, make_table, multiply, show
 
 
-def make_memory_table(store: Store) -> str:
-    """Return a host's memory, part by part, beside the 64 MB for control."""
-    per_query = store.compute("parts", "answers_bytes", SHARDS_A_QUERY)
+def make_memory_table(store: FigureStore) -> str:
+    """Return a host's memory by part, compared with the 64 MB limit for control."""
+    per_query = store.compute("parts", "answers_bytes", SHARDS_PER_QUERY)
     tickets = add(
         store.compute("parts", "issuer_bytes", MAX_TICKETS),
         store.compute("parts", "witness_bytes", MAX_TICKETS),
@@ -39,12 +39,12 @@
             "channels to and from 549 peers, without the kernel's buffers",
             to_mb(store.compute("parts", "channel_bytes", N_HOSTS - 1)),
         ),
-        ("membership of 550 hosts", _find_membership_mb(store)),
+        ("membership of 550 hosts", _get_membership_mb(store)),
         (f"{MAX_TICKETS:,} tickets as issuer and as witness", to_mb(tickets)),
         ("answers kept for repeats, at the most", 8.0),
         (
             "answers to the queries under way, at the most",
-            to_mb(multiply(QUERIES_A_HOST * DEADLINE_S, per_query)),
+            to_mb(multiply(QUERIES_PER_S_PER_HOST * DEADLINE_S, per_query)),
         ),
     ]
     rows = [(name, show(value, "MB")) for name, value in parts]
@@ -68,12 +68,12 @@
     return multiply(value, 1 / 1_048_576)
 
 
-def _find_membership_mb(store: Store) -> float | None:
+def _get_membership_mb(store: FigureStore) -> float | None:
     return multiply(store.get("convergence", "memory_kb"), 1 / 1024)
 
 
-def make_libraries_table(store: Store) -> str:
-    """Return what each library takes beside Python, loaded alone."""
+def make_libraries_table(store: FigureStore) -> str:
+    """Return the memory that each library adds to Python when loaded alone."""
     run = store.runs.get("parts")
     python = store.get("parts", "python_kb")
     rows = [
@@ -84,8 +84,8 @@
     return make_table("library and what it imports", "beside Python", rows=iter(rows))
 
 
-def make_settings_table(store: Store) -> str:
-    """Return what 3,300 edits a day cost, by role."""
+def make_settings_table(store: FigureStore) -> str:
+    """Return the cost of 3,300 settings edits a day, by role of the host."""
     rows = []
     for role, cost, size in (
         ("watch holder: reads the platform's value", "object_us", "object_bytes"),
@@ -97,17 +97,17 @@
             (
                 role,
                 show(us, "us"),
-                show(multiply(us, EDITS_PER_S, MICRO, 100), "%"),
+                show(multiply(us, EDITS_PER_S, S_PER_US, 100), "%"),
                 show(multiply(n_bytes, 1e-3), "KB"),
                 show(multiply(n_bytes, EDITS_PER_S, 1e-3), "KB/s"),
             )
         )
-    heads = ("role", "an edit", "of a core", "bytes of an edit", "received")
-    return make_table(*heads, rows=iter(rows))
+    headers = ("role", "an edit", "of a core", "bytes of an edit", "received")
+    return make_table(*headers, rows=iter(rows))
 
 
-def make_platform_table(store: Store) -> str:
-    """Return the calls that the platform gets, by the bound that the tests hold."""
+def make_platform_table(store: FigureStore) -> str:
+    """Return the calls per second to the platform, as `bound_platform_load` bounds."""
     load = bound_platform_load(
         n_hosts=N_HOSTS, n_holders=WATCH_HOLDERS, changes_per_s=EDITS_PER_S
     )
@@ -126,51 +126,53 @@
     return make_table("what", "figure", rows=iter(rows))
 
 
-CONTROL_NAMES = (
-    ("cpu_share", "share of a core", CONTROL_CORE),
+CONTROL_FIGURES = (
+    ("cpu_share", "share of a core", CONTROL_CORE_SHARE),
     ("rss_mb", "resident MB", CONTROL_MB),
     ("bytes_per_s", "bytes sent a second", CONTROL_KB_PER_S * 1_000),
 )
 
 
-def make_control_table(store: Store) -> str:
-    """Return what an idle host costs by the size of the fleet, and at 550 hosts."""
+def make_control_table(store: FigureStore) -> str:
+    """Return the cost of an idle host by fleet size, extrapolated to 550 hosts."""
     rows = []
-    for name, told, allowed in CONTROL_NAMES:
+    for name, label, allowed in CONTROL_FIGURES:
         value = store.get("control", f"{name}_550")
         error = store.get("control", f"{name}_550_error")
         at_size = UNKNOWN if value is None else f"{show(value)} +- {show(error)}"
         points = list_points(store, "control", name)
-        rows.append((told, points, at_size, show(allowed)))
+        rows.append((label, points, at_size, show(allowed)))
         rows.append(
-            (f"{told}, watch holder", *_list_holder(store, name), show(allowed))
+            (f"{label}, watch holder", *_list_watch_holder(store, name), show(allowed))
         )
-    # Measured for groups of two servers; a host owns so many leafs, not pairs.
+    # Measured per group of two servers, but the planned size counts single servers.
     each = store.get("probes", "cpu_share_per_group")
-    probing = multiply(each, 0.5, GROUPS_A_HOST)
-    told = f"share of a core, health of {GROUPS_A_HOST:.2g} owned leafs"
-    rows.append((told, UNKNOWN if probing is None else "", show(probing), ""))
+    probing = multiply(each, 0.5, GROUPS_PER_HOST)
+    label = f"share of a core, health of {GROUPS_PER_HOST:.2g} owned leafs"
+    rows.append((label, UNKNOWN if probing is None else "", show(probing), ""))
     decode_us = store.compute("parts", "decode_us", N_LEAFS)
-    edits = multiply(decode_us, EDITS_PER_S, MICRO)
+    edits = multiply(decode_us, EDITS_PER_S, S_PER_US)
     rows.append(("share of a core, reading edits", "", show(edits), ""))
     total = add(store.get("control", "cpu_share_550"), probing, edits)
-    rows.append(("**share of a core, together**", "", show(total), show(CONTROL_CORE)))
-    heads = ("one idle host", "hosts: figure", "at 550 by the line", "allowed")
-    return make_table(*heads, rows=iter(rows))
+    rows.append(
+        ("**share of a core, together**", "", show(total), show(CONTROL_CORE_SHARE))
+    )
+    headers = ("one idle host", "hosts: figure", "at 550 by the line", "allowed")
+    return make_table(*headers, rows=iter(rows))
 
 
-def list_points(store: Store, measure: str, name: str) -> str:
+def list_points(store: FigureStore, measure: str, name: str) -> str:
     points = store.get_points(measure, name)
     return ", ".join(f"{x:,}: {show(y)}" for x, y in points.items()) or UNKNOWN
 
 
-def _list_holder(store: Store, name: str) -> tuple[str, str]:
+def _list_watch_holder(store: FigureStore, name: str) -> tuple[str, str]:
     value = store.compute("control", f"holder_{name}", N_HOSTS)
     return list_points(store, "control", f"holder_{name}"), show(value)
 
 
-def make_convergence_table(store: Store) -> str:
-    """Return how fast news spreads, and what it costs, by the size of the fleet."""
+def make_convergence_table(store: FigureStore) -> str:
+    """Return how fast gossip spreads, and its traffic, by fleet size."""
     names = (
         ("join_s", "s until a newcomer knows all and all know it"),
         ("suspect_s", "s to the first suspicion of a dead host"),
@@ -183,12 +185,12 @@
         ("churn_bytes_per_s", "bytes a second, a host replaced each 130 s"),
         ("false_dead", "running hosts declared dead"),
     )
-    rows = ((told, list_points(store, "convergence", name)) for name, told in names)
+    rows = ((label, list_points(store, "convergence", name)) for name, label in names)
     return make_table("what", "hosts: figure", rows=rows)
 
 
-def make_edits_table(store: Store) -> str:
-    """Return the longest time from an edit's acceptance to its being everywhere."""
+def make_edits_table(store: FigureStore) -> str:
+    """Return the longest time from acceptance of an edit until all hosts apply it."""
     names = (
         ("none", "nothing goes wrong"),
         ("holder", "a watch holder is killed at acceptance"),
@@ -196,8 +198,8 @@
         ("platform", "the platform goes down just after it"),
     )
     rows = [
-        (told, list_points(store, "settings", f"{name}_worst_s"))
-        for name, told in names
+        (label, list_points(store, "settings", f"{name}_worst_s"))
+        for name, label in names
     ]
     rows.append(("reverted, all edits", show(store.get("settings", "reverted"))))
     rows.append(
--- a/lab/entries.py
+++ b/lab/entries.py
@@ -1,7 +1,7 @@
-"""Fleets of real entry processes, for what hosts do together.
+"""Fleets of real entry processes, for measurements across hosts.
 
-They are started in batches, and never so many that half of the machine's memory
-would be taken: `has_room` tells.
+The processes start in batches. `has_memory_for` checks that a fleet would leave half of
+the machine's memory free.
 """
 
 from __future__ import annotations
@@ -27,29 +27,32 @@
     write_deployment,
 )
 
-BATCH = 8
-READY_S = 60.0
+MAX_CONCURRENT_STARTS = 8
+READY_LIMIT_S = 60.0
 CALL_LIMIT_S = 5.0
 JOIN_LIMIT_S = 60.0
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 MAX_STARTS = 3
-PROCESS_BYTES = 60_000_000
-"""Generous: what one entry process is counted with before it is started."""
+PROCESS_RESERVE_BYTES = 60_000_000
+"""Memory assumed for one entry process; above what a process really uses."""
 
 
-def has_room(n_processes: int) -> bool:
-    """Tell whether so many more processes leave half of the memory free."""
+def has_memory_for(n_processes: int) -> bool:
+    """Return whether `n_processes` more would leave half of the memory free."""
     fields = dict(
         line.split(":") for line in Path("/proc/meminfo").read_text().splitlines()
     )
     total, available = (
         int(fields[name].split()[0]) * 1024 for name in ("MemTotal", "MemAvailable")
     )
-    return total - available + n_processes * PROCESS_BYTES < total / 2
+    return total - available + n_processes * PROCESS_RESERVE_BYTES < total / 2
 
 
 class EntryFleet:
-    """A running platform, its backend servers and entry processes."""
+    """A running platform with its backend servers and entry processes.
+
+    `running` holds the entry processes by host name.
+    """
 
     def __init__(
         self, *, processes: Processes, deployment: Deployment, platform_control: str
@@ -65,8 +68,8 @@
         return self.deployment.hosts
 
     async def start(self, names: Sequence[str]) -> None:
-        """Start or restart hosts, a few at a time, until they are ready."""
-        limiter = trio.CapacityLimiter(BATCH)
+        """Start or restart hosts, a few at a time; return once all are ready."""
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT_STARTS)
         async with trio.open_nursery() as nursery:
             for name in names:
                 nursery.start_soon(self._start_one, name, limiter)
@@ -76,24 +79,27 @@
         arguments = ["entry", "--settings", settings, "--host", name]
         async with limiter:
             self.running[name] = await self._processes.start(
-                "lavendergap", arguments, name=name, ready_s=READY_S
+                "lavendergap", arguments, name=name, ready_s=READY_LIMIT_S
             )
 
     async def join(self) -> None:
-        """Wait until every host believes all running ones to be live."""
+        """Wait until every host counts all running hosts as live.
+
+        Raises trio.TooSlowError after `JOIN_LIMIT_S` seconds.
+        """
         n_hosts = len(self.running)
         with trio.fail_after(JOIN_LIMIT_S):
             for host in self.hosts:
                 while await self.count_live(host) != n_hosts:
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
 
     async def count_live(self, host: EntryHost) -> int:
-        """Return how many hosts `host` believes to be live, 0 without an answer."""
+        """Return how many live hosts `host` reports, 0 without an answer."""
         samples = await self.read_metrics(host)
         return round(samples.get("lavendergap_members_live", 0.0))
 
     async def read_metrics(self, host: EntryHost) -> dict[str, float]:
-        """Return a host's metrics, the series of one name added up."""
+        """Return a host's metrics; the series of one name are summed."""
         answer = await call(host.admin, "GET", "/metrics", limit=CALL_LIMIT_S)
         sums: dict[str, float] = {}
         for family in text_string_to_metric_families(
@@ -104,7 +110,7 @@
         return sums
 
     async def count_platform_calls(self) -> int:
-        """Return how many calls the platform has seen."""
+        """Return how many calls the platform has received."""
         answer = await call(self.platform_control, "GET", "/counts", limit=CALL_LIMIT_S)
         assert answer is not None
         kinds = ("get", "put", "list", "watch", "watch prefix", "hosts", "other")
@@ -120,10 +126,10 @@
     n_groups: int = 1,
     control: Mapping[str, object] | None = None,
 ) -> AsyncIterator[EntryFleet]:
-    """Yield a fleet whose hosts all know each other; it ends with the block.
+    """Yield a fleet whose hosts have all joined; stop it when the block exits.
 
-    Its ports were free a moment before; when another program has taken one of them
-    meanwhile, all is started once more on others.
+    Another program may take a port between the search for free ones and the start;
+    the fleet is then started again on other ports, up to `MAX_STARTS` times in all.
     """
     shape = DeploymentShape(
         n_hosts=n_hosts,
@@ -131,9 +137,9 @@
         services=(ServiceShape(name="scheduler", n_groups=n_groups),),
         control=control or {},
     )
-    for number in range(1, MAX_STARTS + 1):
+    for attempt in range(1, MAX_STARTS + 1):
         async with open_processes() as processes:
-            fleet = await _try_start(processes, shape, is_last=number == MAX_STARTS)
+            fleet = await _try_start(processes, shape, is_last=attempt == MAX_STARTS)
             if fleet is not None:
                 yield fleet
                 return
@@ -145,12 +151,12 @@
     try:
         return await _start_fleet(processes, shape)
     except (StartError, ExceptionGroup) as error:
-        is_start = (
+        is_start_error = (
             not isinstance(error, ExceptionGroup) or not error.split(StartError)[1]
         )
-        if is_last or not is_start:
+        if is_last or not is_start_error:
             raise
-        print(f"started anew: {error}")
+        print(f"starting again on other ports: {error}")
         return None
 
 
--- a/lab/examples.py
+++ b/lab/examples.py
@@ -1,7 +1,7 @@
-"""Writes the example settings in examples/; `python -m lab.examples`.
+"""Generates the example settings in examples/; `python -m lab.examples`.
 
-The groups of a service differ only in their numbers, so they are written from here;
-a test holds that the files are what this module writes.
+The groups of a service differ only in their numbers, so they are generated. A test
+checks that the files are what this module writes.
 """
 
 import json
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExampleService:
-    """A service: what its comment teaches, its options, and its size.
+    """A service: the comment above it, its options, and its size.
 
-    A service with one group keeps all `n_servers` in it, and it is called as itself;
-    any other has `n_groups` of them, called NAME-00 and so on.
+    Each group has `n_servers` servers. A single group has the name of the service,
+    several groups are named NAME-00, NAME-01 and so on.
     """
 
     name: str
@@ -35,7 +35,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Example:
-    """One deployment. Hosts go to the data centres in turn; ports count up."""
+    """One deployment.
+
+    Hosts are assigned to the data centres round-robin; ports count up from
+    `host_port` and `server_port`.
+    """
 
     name: str
     comment: tuple[str, ...]
@@ -299,7 +303,7 @@
 
 
 def _join(blocks: Iterator[list[str]] | list[list[str]]) -> list[str]:
-    """Put a comma after the last line of each block but the last."""
+    """Return the lines of all blocks, with a comma after each block but the last."""
     joined: list[str] = []
     for block in blocks:
         if joined:
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -1,8 +1,8 @@
-"""Prints the figures of a measurement and keeps them for the pages that quote them.
+"""Prints the figures of a measurement and saves them for the documentation.
 
-Each measurement ends with `report`: a table for people, a last line `name=value ...`
-for programs, and `lab/figures/<measure>.json`, from which `docs/CAPACITY.md` and the
-other pages are computed. A page may quote no figure that is not in such a file.
+Each measurement ends with `report`, which prints tables and a last line `name=value
+...` for programs, and writes `lab/figures/<measure>.json`. Pages such as
+docs/CAPACITY.md may only quote figures from these files.
 """
 
 import os
@@ -16,17 +16,17 @@
 from rich.table import Table
 
 DIRECTORY = Path(__file__).with_name("figures")
-WIDTH = 100
+CONSOLE_WIDTH = 100
 
 Value = float | int | str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Figures:
-    """What one run measured, when, on what, and under which conditions.
+    """The results of one run, with its time, machine and conditions.
 
-    `load_average` is the machine's over the last minute as the run ended: far above
-    `n_cores`, times in milliseconds are the machine's rather than the code's.
+    `load_average` is the machine's over the last minute of the run. Far above `n_cores`
+    it means that short times mostly reflect contention with other processes.
     """
 
     measure: str
@@ -43,7 +43,7 @@
     *,
     conditions: Mapping[str, Value] | None = None,
 ) -> Figures:
-    """Return the figures of a run that ends now on this machine."""
+    """Return the figures of a run that has just ended on this machine."""
     return Figures(
         measure=measure,
         at=datetime.now(UTC).isoformat(timespec="seconds"),
@@ -55,7 +55,7 @@
 
 
 def save_figures(figures: Figures, *, directory: Path = DIRECTORY) -> Path:
-    """Write the figures to `<measure>.json`, in place of those of the last run."""
+    """Write the figures to `<measure>.json`, replacing those of the last run."""
     directory.mkdir(exist_ok=True)
     path = directory / f"{figures.measure}.json"
     encoded = msgspec.json.format(msgspec.json.encode(figures), indent=2)
@@ -64,13 +64,13 @@
 
 
 def load_figures(measure: str, *, directory: Path = DIRECTORY) -> Figures:
-    """Read the figures of the last run; FileNotFoundError when it was never run."""
+    """Read the figures of the last run; raises FileNotFoundError without one."""
     path = directory / f"{measure}.json"
     return msgspec.json.decode(path.read_bytes(), type=Figures)
 
 
 def format_line(figures: Mapping[str, float]) -> str:
-    """Return the last line of a run.
+    """Return the `name=value` line that ends a run's output.
 
     >>> format_line({"extra_load": 0.03125, "coverage": 1.0})
     'extra_load=0.0312 coverage=1'
@@ -80,7 +80,7 @@
 
 def report(figures: Figures, *tables: Table, is_saved: bool = True) -> None:
     """Print tables, conditions and the last line; save the figures."""
-    console = Console(width=WIDTH)
+    console = Console(width=CONSOLE_WIDTH)
     for table in tables:
         console.print(table)
     conditions = {
@@ -91,5 +91,5 @@
     console.print(", ".join(f"{name} {value}" for name, value in conditions.items()))
     if is_saved:
         save_figures(figures)
-    # Not by rich, which would wrap the line.
+    # Not printed by rich, which would wrap the line.
     print(format_line(figures.figures), flush=True)
--- a/lab/memberchanges.py
+++ b/lab/memberchanges.py
@@ -1,9 +1,9 @@
-"""What it costs a gateway host to meet a fleet: `python -m lab.memberchanges`.
+"""Measures a gateway host's cost of membership changes: `python -m lab.memberchanges`.
 
-Membership tells a host of all others, one by one and within `MEETING` seconds, as
-when all start together. Printed for fleets of some sizes: how often the hosts that are
-live were put in force, and the processor time that it took, in milliseconds; first
-with each change for itself and all groups made anew, then as the product does it.
+Membership reports all other hosts one by one within `JOIN_PERIOD_S` seconds, as when a
+whole fleet starts together. For each fleet size it prints how often the set of live
+hosts was applied and the processor time of that in milliseconds. "naive" applies each
+change separately and rebuilds all groups; "product" is the implementation in use.
 """
 
 import time
@@ -27,27 +27,27 @@
 N_HOSTS = (9, 73, 195, 550)
 N_SHARDS = 129
 N_ROUTES = 10
-N_PLACES = 6
-MEETING = 2.0
-SOME_PORT = 8_100
+N_DATA_CENTRES = 6
+JOIN_PERIOD_S = 2.0
+FIRST_PORT = 8_100
 
 
 def main() -> None:
-    """Print one line for each size of the fleet, and last `name=value` pairs."""
-    found = []
+    """Print one line for each fleet size and variant, then `name=value` pairs."""
+    figures = []
     for n_hosts in N_HOSTS:
         for name in ("naive", "product"):
-            meet = partial(_meet, n_hosts, is_naive=name == "naive")
-            n_times, seconds = trio.run(meet, clock=MockClock(rate=0.0))
+            measure_joins = partial(_measure_joins, n_hosts, is_naive=name == "naive")
+            n_updates, seconds = trio.run(measure_joins, clock=MockClock(rate=0.0))
             ms = seconds * 1e3
             print(
-                f"{n_hosts:4} hosts, {name:8} in force {n_times:3} times, {ms:7.1f} ms"
+                f"{n_hosts:4} hosts, {name:8} applied {n_updates:3} times, {ms:7.1f} ms"
             )
-            found.append(f"{name}_ms_at_{n_hosts}={ms:.1f}")
-    print(*found)
+            figures.append(f"{name}_ms_at_{n_hosts}={ms:.1f}")
+    print(*figures)
 
 
-async def _meet(n_hosts: int, *, is_naive: bool) -> tuple[int, float]:
+async def _measure_joins(n_hosts: int, *, is_naive: bool) -> tuple[int, float]:
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, MockClock)
     table, servers = _make_groups()
@@ -57,12 +57,12 @@
     fleet = Fleet(own_name=own.name, settings=_make_settings(), placement=placement)
     budget = ExtraCallBudget(share=0.2, slack=400.0, window_s=10.0)
     catalog: Catalog | None = None
-    spent = 0.0
-    n_times = 0
+    cpu_s = 0.0
+    n_updates = 0
 
     def apply() -> None:
-        nonlocal catalog, n_times
-        n_times += 1
+        nonlocal catalog, n_updates
+        n_updates += 1
         catalog = build_catalog(
             table=table,
             servers=servers,
@@ -74,36 +74,36 @@
         for group in catalog.places:
             fleet.rank(group)
 
-    live = LiveHosts(
+    live_hosts = LiveHosts(
         membership=membership, fleet=fleet, placement=placement, apply=apply
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(live.run)
+        nursery.start_soon(live_hosts.run)
         for number in range(1, n_hosts):
-            _hear(membership, number, now=trio.current_time())
+            _receive_gossip(membership, number, now=trio.current_time())
             started = time.process_time()
             for event in membership.take_events():
-                live.take_event(event)
-            # The naive host has had its pause before each change.
-            clock.jump(PAUSE if is_naive else MEETING / n_hosts)
+                live_hosts.take_event(event)
+            # A full pause per change makes the naive variant apply each one separately.
+            clock.jump(PAUSE if is_naive else JOIN_PERIOD_S / n_hosts)
             await trio.testing.wait_all_tasks_blocked()
-            spent += time.process_time() - started
+            cpu_s += time.process_time() - started
         nursery.cancel_scope.cancel()
-    return n_times, spent
+    return n_updates, cpu_s
 
 
-def _hear(membership: Membership, number: int, *, now: float) -> None:
+def _receive_gossip(membership: Membership, number: int, *, now: float) -> None:
     member = _make_member(number)
-    news = Gossip(source=member, documents=DocumentsDigest(), updates=())
-    membership.receive(news, sender=member.peers, now=now)
+    gossip = Gossip(source=member, documents=DocumentsDigest(), updates=())
+    membership.receive(gossip, sender=member.peers, now=now)
 
 
 def _make_member(number: int) -> Member:
     return Member(
         name=f"host-{number}",
-        data_centre=f"dc-{number % N_PLACES}",
+        data_centre=f"dc-{number % N_DATA_CENTRES}",
         incarnation=1,
-        peers=Address(ip="127.0.0.1", port=SOME_PORT + number),
+        peers=Address(ip="127.0.0.1", port=FIRST_PORT + number),
     )
 
 
@@ -111,7 +111,7 @@
     return Settings(
         deployment="lab",
         version=0,
-        platform=Address(ip="127.0.0.1", port=SOME_PORT),
+        platform=Address(ip="127.0.0.1", port=FIRST_PORT),
         hosts=(),
         services=(),
         control=Control(),
@@ -138,7 +138,7 @@
         RegisteredServer(
             server_id=f"{group}-{place}",
             group=group,
-            address=Address(ip="127.0.0.1", port=SOME_PORT),
+            address=Address(ip="127.0.0.1", port=FIRST_PORT),
             data_centre=f"dc-{place}",
             slots=2,
             is_draining=False,
--- a/lab/parts.py
+++ b/lab/parts.py
@@ -1,10 +1,10 @@
 """Measures single parts of a host by size; `python -m lab.parts`.
 
-Each part is measured at three sizes or more, so that `docs/CAPACITY.md` can work out
-the size of two years from a line through the points. Processor time is the least of
-several runs in this one process; memory is what tracemalloc counts. A hop goes over a
-loopback socket whose two ends are both in this process, so that its figure is what
-the two hosts spend together.
+Each part is measured at three sizes or more, so that `docs/CAPACITY.md` can extrapolate
+to the planned size with a fitted line. Processor time is the minimum of several runs
+in this process; memory is measured by tracemalloc. A hop is one request and reply over
+a loopback socket with both ends in this process, so that its figure is the cost on
+both hosts together.
 """
 
 import subprocess
@@ -55,19 +55,19 @@
 N_GROUPS = 3_000
 ANSWER = b'{"hits": [' + b",".join([b'"item-0001"'] * 25) + b"]}"
 QUERY = b'{"query": "service alert"}'
-SHARDS_A_MESSAGE = (1, 5, 20, 85)
-SERVERS = (600, 3_000, 6_000)
-TICKETS = (5_000, 10_000, 20_000)
-KEYS = (500, 1_500, 3_000)
-HOSTS = (50, 200, 550)
-SHARDS_A_QUERY = (20, 85, 200)
+SHARDS_PER_MESSAGE = (1, 5, 20, 85)
+SERVER_COUNTS = (600, 3_000, 6_000)
+TICKET_COUNTS = (5_000, 10_000, 20_000)
+RANKING_KEYS = (500, 1_500, 3_000)
+HOST_COUNTS = (50, 200, 550)
+SHARDS_PER_QUERY = (20, 85, 200)
 N_RUNS = 7
 N_HOPS = 320
-TOGETHER = (1, 4, 16, 64)
-CHANNELS = (10, 50, 100)
-# Libraries of the daemon, each loaded alone beside Python.
+CONCURRENT_QUESTIONS = (1, 4, 16, 64)
+CHANNEL_COUNTS = (10, 50, 100)
+# Libraries of the daemon, each measured in a Python process that imports only it.
 LIBRARIES = ("trio", "hypercorn", "httpcore", "capnp", "prometheus_client", "msgspec")
-MICRO = 1e6
+US_PER_S = 1e6
 
 Points = dict[int, float]
 
@@ -75,24 +75,24 @@
 def measure_points(
     functions: dict[int, Callable[[], object]], *, n_rounds: int = 1
 ) -> Points:
-    """Return the least processor microseconds of a call to each function.
+    """Return the minimum processor time of each function in microseconds.
 
-    The functions take turns, so that a machine that is slow for a while is slow for
-    each point of a line and not for one of them.
+    The functions run in turns, so that a temporarily slow machine affects all points of
+    a line alike.
     """
-    taken: Points = {}
+    least_us: Points = {}
     for _ in range(N_RUNS):
         for x, function in functions.items():
-            began = time.process_time()
+            started_s = time.process_time()
             for _ in range(n_rounds):
                 function()
-            spent = (time.process_time() - began) / n_rounds * MICRO
-            taken[x] = min(spent, taken.get(x, spent))
-    return taken
+            spent_us = (time.process_time() - started_s) / n_rounds * US_PER_S
+            least_us[x] = min(spent_us, least_us.get(x, spent_us))
+    return least_us
 
 
 def measure_bytes(make: Callable[[], object]) -> float:
-    """Return the bytes that what `make` returns holds."""
+    """Return the traced memory, in bytes, of the object that `make` returns."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     held = make()
@@ -103,7 +103,7 @@
 
 
 def make_search(n_shards: int) -> Search:
-    """Return the message that asks an owner for some shards of a query."""
+    """Return a query message to an owner for `n_shards` shards."""
     return Search(
         request_id="0123456789abcdef",
         service="scheduler",
@@ -118,7 +118,7 @@
 
 
 def make_answers(n_shards: int) -> Answers:
-    """Return the message in which an owner answers them all."""
+    """Return an owner's message with answers for `n_shards` shards."""
     return Answers(
         answers=tuple(
             ShardAnswer(
@@ -140,30 +140,30 @@
 
 
 def measure_codec(make: Callable[[int], Message]) -> Points:
-    """Return the microseconds of a message's codec by its shards."""
+    """Return the codec time of a message in microseconds, by shard count."""
     return measure_points(
-        {n: partial(pass_through_codec, make(n)) for n in SHARDS_A_MESSAGE},
+        {n: partial(pass_through_codec, make(n)) for n in SHARDS_PER_MESSAGE},
         n_rounds=100,
     )
 
 
 def measure_lengths(make: Callable[[int], Message]) -> Points:
-    """Return the bytes of a message's frame by its shards, without TCP and IP."""
+    """Return the bytes of a message's frame by shard count, without TCP and IP."""
     return {
         n: float(len(encode_frame(Frame(id=1, message=make(n)))))
-        for n in SHARDS_A_MESSAGE
+        for n in SHARDS_PER_MESSAGE
     }
 
 
 async def measure_hops() -> dict[str, Points]:
-    """Return the microseconds that one question and its answer cost both hosts.
+    """Return the cost of one request and reply on both hosts, in microseconds.
 
-    The codec, the framing, the loop and the kernel's part are in it. By shards,
-    questions go one after the other, so that nothing is sent together with something
-    else; the other points are for questions of one shard, several at a time.
+    It includes the codec, framing, event loop and kernel. For "hop_us", by shard count,
+    requests are sent one after the other, so that none share a write; for
+    "hop_together_us", by concurrency, requests for one shard are sent in batches.
     """
     hello = Hello(deployment="lab", host="ptl-a-1", incarnation=1)
-    replies = {n: make_answers(n) for n in SHARDS_A_MESSAGE}
+    replies = {n: make_answers(n) for n in SHARDS_PER_MESSAGE}
 
     def answer(channel: Channel, frame: Frame) -> None:
         assert isinstance(frame.message, Search)
@@ -182,20 +182,20 @@
         channel = await dialer.dial("ptl-a-1", Address(ip=ip, port=port))
         assert isinstance(channel, Channel)
         for _ in range(N_RUNS):
-            for n in SHARDS_A_MESSAGE:
-                spent = await measure_hop(channel, make_search(n), n_together=1)
-                by_shards[n] = min(spent, by_shards.get(n, spent))
-            for n in TOGETHER:
-                spent = await measure_hop(channel, make_search(1), n_together=n)
-                together[n] = min(spent, together.get(n, spent))
+            for n in SHARDS_PER_MESSAGE:
+                spent_us = await measure_hop(channel, make_search(n), n_together=1)
+                by_shards[n] = min(spent_us, by_shards.get(n, spent_us))
+            for n in CONCURRENT_QUESTIONS:
+                spent_us = await measure_hop(channel, make_search(1), n_together=n)
+                together[n] = min(spent_us, together.get(n, spent_us))
         nursery.cancel_scope.cancel()
     return {"hop_us": by_shards, "hop_together_us": together}
 
 
 async def measure_channels() -> Points:
-    """Return the bytes that open channels hold in Python's memory, both ends.
+    """Return the Python memory of open channels in bytes, both ends, by their number.
 
-    Sockets' buffers belong to the kernel and are not in it.
+    Socket buffers, which belong to the kernel, are not included.
     """
     hello = Hello(deployment="lab", host="ptl-a-1", incarnation=1)
     points: Points = {}
@@ -212,10 +212,10 @@
         address = Address(ip=ip, port=port)
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        for n in range(1, max(CHANNELS) + 1):
+        for n in range(1, max(CHANNEL_COUNTS) + 1):
             dialer = Dialer(own=hello, nursery=nursery)
             assert isinstance(await dialer.dial("ptl-a-1", address), Channel)
-            if n in CHANNELS:
+            if n in CHANNEL_COUNTS:
                 now, _ = tracemalloc.get_traced_memory()
                 points[n] = now - before
         tracemalloc.stop()
@@ -224,25 +224,25 @@
 
 
 async def measure_hop(channel: Channel, search: Search, *, n_together: int) -> float:
-    """Return the microseconds of one question and its answer."""
-    began = time.process_time()
+    """Return the processor time of one request and its reply in microseconds."""
+    started_s = time.process_time()
     for _ in range(N_HOPS // n_together):
         await ask_together(channel, search, n_together)
-    return (time.process_time() - began) / N_HOPS * MICRO
+    return (time.process_time() - started_s) / N_HOPS * US_PER_S
 
 
 async def ask_together(channel: Channel, search: Search, n_questions: int) -> None:
-    """Ask several questions in one turn of the loop and wait for every answer."""
+    """Send several requests in one event loop iteration and wait for all replies."""
     n_open = n_questions
     is_answered = trio.Event()
 
-    def take(message: Message) -> None:
+    def count_reply(message: Message) -> None:
         nonlocal n_open
         n_open -= 1
         if n_open == 0:
             is_answered.set()
 
-    exchange = Exchange(reply=take, lose=lambda loss: None)
+    exchange = Exchange(reply=count_reply, lose=lambda loss: None)
     request_ids = [channel.request(search, exchange) for _ in range(n_questions)]
     await is_answered.wait()
     for request_id in request_ids:
@@ -250,12 +250,12 @@
 
 
 def name_hosts(n_hosts: int) -> frozenset[str]:
-    """Return the names of a fleet in ten data centres."""
+    """Return the host names of a fleet in ten data centres."""
     return frozenset(f"dc-{n % 10}-{n // 10}" for n in range(n_hosts))
 
 
 def make_ranking(n_hosts: int, n_keys: int) -> Ranking:
-    """Return a ranking that has been asked for each key."""
+    """Return a ranking that has cached `n_keys` keys."""
     ranking = Ranking(hosts=name_hosts(n_hosts))
     for n in range(n_keys):
         ranking.rank(f"scheduler-{n:04}")
@@ -263,9 +263,9 @@
 
 
 def measure_joins(sizes: Iterator[tuple[int, int, int]]) -> Points:
-    """Return the microseconds to carry a ranking over one host that joined.
+    """Return the time to update a ranking for one joining host, in microseconds.
 
-    Each size is the number that names the point, the hosts and the keys.
+    Each size is a tuple: the x value of the point, the number of hosts, of keys.
     """
     functions: dict[int, Callable[[], object]] = {}
     for name, n_hosts, n_keys in sizes:
@@ -276,7 +276,7 @@
 
 
 def join_answers(n_shards: int) -> None:
-    """Join the answers to one query of some shards."""
+    """Join the answers to one query over `n_shards` shards."""
     shards = tuple(
         Shard(name=f"s{n:04}", group=f"scheduler-{n:04}", share=1 / n_shards)
         for n in range(n_shards)
@@ -294,7 +294,7 @@
 
 
 class Bookings:
-    """An issuer and a witness that take tickets through their whole life."""
+    """An issuer and a witness that process tickets from issue to outcome."""
 
     def __init__(self, n_tickets: int) -> None:
         own = Peer(host="ptl-a-1", incarnation=7)
@@ -321,7 +321,7 @@
         return ticket
 
     def run_at_issuer(self, n_tickets: int) -> Iterator[str]:
-        """Take tickets through the issuer; yield the text of each."""
+        """Process `n_tickets` tickets at the issuer; yield the text of each."""
         for _ in range(n_tickets):
             ticket = self.issue()
             self.issuer.begin(ticket, body=QUERY, now=1.0)
@@ -331,32 +331,34 @@
             yield str(ticket)
 
     def run_at_witness(self, texts: Iterable[str]) -> None:
-        """Take tickets through the witness, which reads them from their text."""
+        """Process tickets at the witness, parsing each from its text."""
         for text in texts:
             self.witness.start(read_ticket(text), now=1.0)
             self.witness.end(read_ticket(text), Answered(body=b"{}"), now=1.0)
 
 
 def read_ticket(text: str) -> Ticket:
-    """Return the ticket in its text."""
+    """Parse a valid ticket."""
     ticket = parse_ticket(text)
     assert isinstance(ticket, Ticket)
     return ticket
 
 
 def measure_tickets() -> dict[str, Points]:
-    """Return the time and the bytes of tickets, by how many are held."""
-    texts = {n: list(Bookings(n).run_at_issuer(n)) for n in TICKETS}
+    """Return the time and memory of tickets, by the number of stored tickets."""
+    texts = {n: list(Bookings(n).run_at_issuer(n)) for n in TICKET_COUNTS}
     issuer_bytes: Points = {}
     witness_bytes: Points = {}
-    for n in TICKETS:
+    for n in TICKET_COUNTS:
         bookings = Bookings(n)
         issuer_bytes[n] = measure_bytes(partial(run_at_issuer, n, bookings))
         witness_bytes[n] = measure_bytes(partial(bookings.run_at_witness, texts[n]))
     return {
-        "issuer_us": measure_points({n: partial(run_at_issuer, n) for n in TICKETS}),
+        "issuer_us": measure_points(
+            {n: partial(run_at_issuer, n) for n in TICKET_COUNTS}
+        ),
         "witness_us": measure_points(
-            {n: partial(run_at_witness, texts[n]) for n in TICKETS}
+            {n: partial(run_at_witness, texts[n]) for n in TICKET_COUNTS}
         ),
         "issuer_bytes": issuer_bytes,
         "witness_bytes": witness_bytes,
@@ -364,20 +366,20 @@
 
 
 def run_at_issuer(n_tickets: int, bookings: Bookings | None = None) -> None:
-    """Take tickets through an issuer, a new one if none is given; keep no text."""
+    """Process tickets at the issuer of `bookings`, or of a new instance."""
     bookings = bookings or Bookings(n_tickets)
     for _ in bookings.run_at_issuer(n_tickets):
         pass
 
 
 def run_at_witness(texts: list[str]) -> None:
-    """Take tickets through a new witness."""
+    """Process tickets at a new witness."""
     Bookings(len(texts)).run_at_witness(texts)
 
 
 def measure_settings() -> dict[str, Points]:
-    """Return what settings cost a host, by their backend servers, with 550 hosts."""
-    texts = {n: make_text(n) for n in SERVERS}
+    """Return the cost of settings by number of backend servers, with 550 hosts."""
+    texts = {n: make_text(n) for n in SERVER_COUNTS}
     parsers = {
         n: partial(parse_settings, text, file="large", version=1)
         for n, text in texts.items()
@@ -402,21 +404,21 @@
 
 
 def measure_resident_kb(code: str) -> float:
-    """Return the kilobytes resident of a Python that ran one line."""
-    show = (
+    """Return the resident memory of a Python process after `code`, in KB."""
+    print_rss = (
         "print(next(l.split()[1] for l in open('/proc/self/status') if 'VmRSS' in l))"
     )
-    shown = subprocess.run(
-        [sys.executable, "-c", f"{code}\n{show}"],
+    completed = subprocess.run(
+        [sys.executable, "-c", f"{code}\n{print_rss}"],
         capture_output=True,
         check=True,
         text=True,
     )
-    return float(shown.stdout)
+    return float(completed.stdout)
 
 
 def measure_command_kb(n_servers: int) -> float:
-    """Return the kilobytes of a command that has read and checked a settings file."""
+    """Return the memory of a command that has loaded a settings file, in KB."""
     with tempfile.NamedTemporaryFile("w", suffix=".jsonc") as file:
         file.write(make_text(n_servers))
         file.flush()
@@ -430,22 +432,22 @@
 
 
 def measure_all() -> dict[str, Points]:
-    """Return the points of every part."""
+    """Return the measured points of every part."""
     parts = {
         "search_codec_us": measure_codec(make_search),
         "answers_codec_us": measure_codec(make_answers),
         "search_bytes": measure_lengths(make_search),
         "answers_bytes": measure_lengths(make_answers),
-        "caller_us": trio.run(measure_caller, SHARDS_A_QUERY, ANSWER, N_RUNS),
-        "command_kb": {n: measure_command_kb(n) for n in SERVERS},
+        "caller_us": trio.run(measure_caller, SHARDS_PER_QUERY, ANSWER, N_RUNS),
+        "command_kb": {n: measure_command_kb(n) for n in SERVER_COUNTS},
         "channel_bytes": trio.run(measure_channels),
-        "rank_join_by_groups_us": measure_joins((n, N_HOSTS, n) for n in KEYS),
-        "rank_join_by_hosts_us": measure_joins((n, n, N_GROUPS) for n in HOSTS),
+        "rank_join_by_groups_us": measure_joins((n, N_HOSTS, n) for n in RANKING_KEYS),
+        "rank_join_by_hosts_us": measure_joins((n, n, N_GROUPS) for n in HOST_COUNTS),
         "rank_bytes": {
-            n: measure_bytes(partial(make_ranking, N_HOSTS, n)) for n in KEYS
+            n: measure_bytes(partial(make_ranking, N_HOSTS, n)) for n in RANKING_KEYS
         },
         "join_us": measure_points(
-            {n: partial(join_answers, n) for n in SHARDS_A_QUERY}, n_rounds=50
+            {n: partial(join_answers, n) for n in SHARDS_PER_QUERY}, n_rounds=50
         ),
     }
     return parts | trio.run(measure_hops) | measure_tickets() | measure_settings()
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,8 +1,8 @@
-"""Starts the project's processes for experiments, and leaves none of them behind.
+"""Starts the project's processes for experiments, and ends all of them afterwards.
 
 Used by the lab, the demo and the tests that need real processes. Everything runs
-on 127.0.0.1; output goes to files in a temporary directory, so that a process which
-prints a lot is never stopped by a full pipe. For example::
+on 127.0.0.1. Output goes to files in a temporary directory, so that a full pipe never
+blocks a process that prints a lot. For example::
 
     shape = DeploymentShape(n_hosts=3, services=(ServiceShape(name="scheduler"),))
     async with open_processes() as processes:
@@ -32,43 +32,43 @@
 
 import trio
 
-READY = "ready"
-READY_S = 20.0
-STOP_S = 10.0
-POLL_S = 0.02
+READY_LINE = "ready"
+READY_LIMIT_S = 20.0
+STOP_LIMIT_S = 10.0
+POLL_INTERVAL_S = 0.02
 
-# What a shell reports for a program that a signal ended.
+# A shell reports a program that a signal ended as 128 plus the signal's number.
 SIGNAL_EXIT_BASE = 128
 
-# Below the range that the kernel hands to outgoing connections, so that a port
-# found free is not taken by a connection before the process listens on it.
+# Below the ephemeral range, so that no outgoing connection takes a port that was found
+# free before the process listens on it.
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
 
-_dealt: set[int] = set()
+_assigned_ports: set[int] = set()
 
 LOCALHOST = "127.0.0.1"
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-TAIL_LINES = 15
+N_TAIL_LINES = 15
 
 
 class StartError(Exception):
-    """A process ended, or was not ready in time; the message shows its last lines."""
+    """A process exited or was not ready in time; the message has its last lines."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Usage:
-    """What a process has used: seconds of processor time, resident bytes now."""
+    """Processor time that a process has used, and its present resident memory."""
 
     cpu_s: float
     rss_bytes: int
 
 
 def read_usage(pid: int) -> Usage:
-    """Read what the process `pid` has used, from /proc."""
+    """Read the resource usage of the process `pid` from /proc."""
     stat = Path(f"/proc/{pid}/stat").read_text()
-    # The name in parentheses may hold spaces; fields count from behind it.
+    # The process name in parentheses may contain spaces; the fields come after it.
     fields = stat.rpartition(")")[2].split()
     user_ticks, system_ticks, rss_pages = (int(fields[i]) for i in (11, 12, 21))
     return Usage(
@@ -80,32 +80,32 @@
 def find_free_ports(n_ports: int) -> tuple[int, ...]:
     """Find ports of 127.0.0.1 that are free for both TCP and UDP.
 
-    They are released before this returns, so another program may still take one;
-    the search starts at random places to make that unlikely. This process deals none
-    twice: the hosts of a deployment bind theirs later, and a second call could deal one
-    of them to the program that is started before them.
+    The ports are released before this returns, so another program may still take one;
+    they are chosen at random to make that unlikely. No port is returned twice in this
+    process: hosts bind their ports later, and a second call could otherwise assign one
+    of these to a program that starts earlier. Raises `StartError` without enough ports.
     """
-    held: list[socket.socket] = []
+    sockets: list[socket.socket] = []
     ports: list[int] = []
-    candidates = [p for p in range(FIRST_PORT, LAST_PORT) if p not in _dealt]
+    candidates = [p for p in range(FIRST_PORT, LAST_PORT) if p not in _assigned_ports]
     random.SystemRandom().shuffle(candidates)
     try:
         for port in candidates:
             if len(ports) == n_ports:
-                _dealt.update(ports)
+                _assigned_ports.update(ports)
                 return tuple(ports)
-            pair = _hold_port(port)
-            held.extend(pair)
+            pair = _bind_port(port)
+            sockets.extend(pair)
             if pair:
                 ports.append(port)
     finally:
-        for each in held:
+        for each in sockets:
             each.close()
     raise StartError(f"fewer than {n_ports} free ports on {LOCALHOST}")
 
 
-def _hold_port(port: int) -> tuple[socket.socket, ...]:
-    """Bind `port` for TCP and UDP, or return nothing when either is taken."""
+def _bind_port(port: int) -> tuple[socket.socket, ...]:
+    """Bind `port` for TCP and UDP; return () when either is taken."""
     stream = socket.socket(type=socket.SOCK_STREAM)
     datagram = socket.socket(type=socket.SOCK_DGRAM)
     try:
@@ -122,7 +122,7 @@
 class ServiceShape:
     """A service to write into a settings file; each group is one shard.
 
-    `options` are written on the service's branch as they are.
+    `options` are written unchanged to the service's branch.
     """
 
     name: str
@@ -136,9 +136,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DeploymentShape:
-    """How many hosts in how many data centres, and the services behind them.
+    """The numbers of hosts and data centres, and the services of a deployment.
 
-    `options` stand at the top of the tree; `control` is its branch of that name.
+    `options` are written at the top of the settings tree, `control` to its branch.
     """
 
     n_hosts: int
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """A settings file on disk and the addresses that it names."""
+    """A settings file on disk and the addresses in it."""
 
     settings: Path
     platform: str
@@ -169,7 +169,7 @@
 
 
 def write_deployment(*, shape: DeploymentShape, directory: Path) -> Deployment:
-    """Write `settings.jsonc` of the given shape, on free ports, into `directory`."""
+    """Write `settings.jsonc` of the given shape to `directory`, with free ports."""
     n_servers = sum(each.n_groups * each.n_servers for each in shape.services)
     ports = iter(find_free_ports(1 + 3 * shape.n_hosts + n_servers))
     platform = _take_address(ports)
@@ -181,7 +181,7 @@
         **shape.options,
         "data_centres": _build_data_centres(hosts),
         "services": {
-            # A server may only stand in a data centre that some host stands in.
+            # Settings are only valid if each server's data centre has a host.
             each.name: _build_service(
                 each, min(shape.n_data_centres, shape.n_hosts), ports
             )
@@ -244,7 +244,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Running:
-    """A process that was started here, with the files that its output goes to."""
+    """A process started by `Processes`, with the files of its output."""
 
     name: str
     process: trio.Process
@@ -257,33 +257,31 @@
         return self.process.pid
 
     def is_alive(self) -> bool:
-        """Tell whether the process has not ended yet; a paused one is alive."""
+        """Return whether the process has not exited; a paused one is alive."""
         return self.process.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended already."""
+        """Send a signal, unless the process has already exited."""
         if self.is_alive():
             self.process.send_signal(number)
 
     def pause(self) -> None:
-        """Stop the process where it stands, as a frozen host would (SIGSTOP)."""
+        """Freeze the process with SIGSTOP, as a hung host would."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on (SIGCONT)."""
+        """Resume a paused process with SIGCONT."""
         self.send(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End the process without warning (SIGKILL) and wait until it is gone."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.send(signal.SIGKILL)
         await self.process.wait()
 
-    async def stop(self, *, limit_s: float = STOP_S) -> int:
-        """Ask the process to end (SIGTERM) and return its exit code.
+    async def stop(self, *, limit_s: float = STOP_LIMIT_S) -> int:
+        """Stop the process with SIGTERM and return its exit code.
 
-        A process that is still there after `limit_s` is killed; its exit code is
-        then -9, so that a caller who checks for 0 sees that it did not end by
-        itself.
+        A process still running after `limit_s` seconds is killed and the code is -9.
         """
         self.resume()
         self.send(signal.SIGTERM)
@@ -293,24 +291,23 @@
         return await self.process.wait()
 
     def read_log(self) -> str:
-        """Return all that the process has written to stderr."""
+        """Return everything that the process has written to stderr."""
         return self.stderr.read_text(errors="replace")
 
     def read_tail(self) -> str:
-        """Return the last lines of both outputs, for a message about a failure."""
+        """Return the last lines of both outputs, for error messages."""
         text = self.stdout.read_text(errors="replace") + self.read_log()
-        return "\n".join(text.splitlines()[-TAIL_LINES:])
+        return "\n".join(text.splitlines()[-N_TAIL_LINES:])
 
 
 class Processes:
-    """Starts processes and remembers them, so that `open_processes` can end them."""
+    """Starts processes and records them, so that `open_processes` can end them."""
 
     def __init__(self, *, directory: Path) -> None:
         self.directory = directory
         self.running: list[Running] = []
-        # Counted apart from `running`, which grows only once a process has started:
-        # two that start at once would else share their files, and one would be
-        # taken for ready by the other's word.
+        # Not len(running), which grows only once a process has started: two concurrent
+        # starts would share output files, and one would be ready by the other's output.
         self._numbers = itertools.count()
 
     async def start(
@@ -319,7 +316,7 @@
         arguments: Sequence[str] = (),
         *,
         name: str | None = None,
-        ready_s: float = READY_S,
+        ready_s: float = READY_LIMIT_S,
         environment: Mapping[str, str] | None = None,
     ) -> Running:
         """Run `python -m module arguments` and return once it prints `ready`."""
@@ -335,13 +332,13 @@
         command: Sequence[str],
         *,
         name: str,
-        ready_s: float = READY_S,
+        ready_s: float = READY_LIMIT_S,
         environment: Mapping[str, str] | None = None,
     ) -> Running:
         """Run `command` and return once it prints `ready`.
 
-        Raises `StartError` when the process ends first, or is not ready after
-        `ready_s` seconds; it is then ended with all others.
+        Raises `StartError` when the process exits first, or is not ready after
+        `ready_s` seconds; it is then stopped with all others.
         """
         running = await self._spawn(command, name, environment or {})
         with trio.move_on_after(ready_s):
@@ -357,9 +354,9 @@
         name: str,
         environment: Mapping[str, str],
     ) -> Running:
-        title = f"{next(self._numbers):03}-{name}"
-        stdout = self.directory / f"{title}.out"
-        stderr = self.directory / f"{title}.err"
+        file_stem = f"{next(self._numbers):03}-{name}"
+        stdout = self.directory / f"{file_stem}.out"
+        stderr = self.directory / f"{file_stem}.err"
         with stdout.open("wb") as out, stderr.open("wb") as err:
             process = await trio.lowlevel.open_process(
                 command,
@@ -367,28 +364,28 @@
                 stdout=out,
                 stderr=err,
                 env={**os.environ, "PYTHONUNBUFFERED": "1", **environment},
-                # Out of the terminal's foreground group: Ctrl-C then reaches this
-                # program alone, which stops its processes in order.
+                # A separate process group, so that Ctrl-C in the terminal reaches only
+                # this program, which then stops its processes in order.
                 process_group=0,
             )
-        running = Running(name=title, process=process, stdout=stdout, stderr=stderr)
+        running = Running(name=file_stem, process=process, stdout=stdout, stderr=stderr)
         self.running.append(running)
         return running
 
     async def _wait_until_ready(self, running: Running) -> None:
-        while READY not in running.stdout.read_text(errors="replace").splitlines():
+        while READY_LINE not in running.stdout.read_text(errors="replace").splitlines():
             if not running.is_alive():
                 code = running.process.returncode
                 raise StartError(
-                    f"{running.name}: ended with {code} before it was ready\n"
+                    f"{running.name}: exited with {code} before it was ready\n"
                     f"{running.read_tail()}"
                 )
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
     async def start_platform(
         self, deployment: Deployment, *, control: str | None = None
     ) -> Running:
-        """Start the platform stand-in of a deployment, seeded from its settings."""
+        """Start the platform stand-in of a deployment, with its settings stored."""
         arguments = ["--listen", deployment.platform]
         arguments += ["--control", control or find_free_address()]
         arguments += ["--settings", str(deployment.settings)]
@@ -415,8 +412,8 @@
         arguments = ["entry", "--settings", str(deployment.settings), "--host", host]
         return await self.start("lavendergap", [*arguments, *options], name=host)
 
-    async def stop_all(self, *, limit_s: float = STOP_S) -> None:
-        """End every process that is still there, paused ones too."""
+    async def stop_all(self, *, limit_s: float = STOP_LIMIT_S) -> None:
+        """Stop every process that still runs, paused ones too."""
         async with trio.open_nursery() as nursery:
             for running in self.running:
                 nursery.start_soon(partial(running.stop, limit_s=limit_s))
@@ -430,26 +427,26 @@
 
 @asynccontextmanager
 async def open_processes(
-    *, directory: Path | None = None, stop_s: float = STOP_S
+    *, directory: Path | None = None, stop_s: float = STOP_LIMIT_S
 ) -> AsyncIterator[Processes]:
-    """Yield a `Processes`; whatever it started has ended when the block is left.
+    """Yield a `Processes`; all processes it started have ended when the block exits.
 
-    That holds for errors, cancellation, Ctrl-C, SIGTERM and SIGHUP too. Output goes
+    This includes exits by errors, cancellation, Ctrl-C, SIGTERM and SIGHUP. Output goes
     to `directory`, or to a temporary one that is removed at the end. A process that
-    has not ended `stop_s` seconds after SIGTERM is killed.
+    has not exited `stop_s` seconds after SIGTERM is killed.
     """
-    with _make_directory(directory) as place:
-        processes = Processes(directory=place)
-        body = trio.CancelScope()
-        listener = _Listener(scope=body)
-        # Not a nursery of its own: that would wrap the caller's errors in a group.
+    with _make_directory(directory) as output_directory:
+        processes = Processes(directory=output_directory)
+        body_scope = trio.CancelScope()
+        listener = _SignalListener(scope=body_scope)
+        # Not in a nursery, which would wrap the caller's errors in an exception group.
         trio.lowlevel.spawn_system_task(listener.run)
         try:
-            with body:
+            with body_scope:
                 yield processes
         finally:
-            # The listener stays until the processes are gone: `timeout` sends SIGTERM
-            # twice, and the second one would otherwise end this program half-way.
+            # The listener runs until the processes have ended: `timeout` sends SIGTERM
+            # twice, and the second one would otherwise end this program too early.
             with trio.CancelScope(shield=True):
                 await processes.stop_all(limit_s=stop_s)
             listener.stop()
@@ -457,15 +454,15 @@
             raise SystemExit(SIGNAL_EXIT_BASE + listener.received)
 
 
-class _Listener:
-    """Turns a request to end this program into cancellation, so that it tidies up.
+class _SignalListener:
+    """Turns SIGTERM and SIGHUP into cancellation, so that cleanup runs.
 
-    Without it, SIGTERM would end this program at once and leave its processes.
+    Otherwise SIGTERM would end this program at once and leave its processes running.
     """
 
     def __init__(self, *, scope: trio.CancelScope) -> None:
         self.received: int | None = None
-        self._body = scope
+        self._scope_to_cancel = scope
         self._own = trio.CancelScope()
 
     async def run(self) -> None:
@@ -475,7 +472,7 @@
         ):
             async for number in signals:
                 self.received = number
-                self._body.cancel()
+                self._scope_to_cancel.cancel()
 
     def stop(self) -> None:
         self._own.cancel()
@@ -492,14 +489,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Scheduled:
+class SchedulerStats:
     """Seconds that a process ran on a core, and that it waited for one."""
 
     ran_s: float
     waited_s: float
 
 
-def read_scheduled(pid: int) -> Scheduled:
-    """Read from /proc how long a process ran and how long it waited to run."""
+def read_scheduler_stats(pid: int) -> SchedulerStats:
+    """Read the scheduler statistics of a process from /proc."""
     ran_ns, waited_ns, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
-    return Scheduled(ran_s=int(ran_ns) / 1e9, waited_s=int(waited_ns) / 1e9)
+    return SchedulerStats(ran_s=int(ran_ns) / 1e9, waited_s=int(waited_ns) / 1e9)
--- a/lab/querytables.py
+++ b/lab/querytables.py
@@ -1,64 +1,70 @@
-"""The tables of docs/CAPACITY.md about what queries cost a host."""
-
-from .sizes import CALLS_A_HOST, MICRO, OWNERS_A_QUERY, QUERIES_A_HOST, SHARDS_A_QUERY
-from .slopes import UNKNOWN, Store, add, make_table, multiply, show
+"""The tables of docs/CAPACITY.md about the cost of queries on a host."""
+
+from .sizes import (
+    CALLS_PER_S_PER_HOST,
+    OWNERS_PER_QUERY,
+    QUERIES_PER_S_PER_HOST,
+    S_PER_US,
+    SHARDS_PER_QUERY,
+)
+from .slopes import UNKNOWN, FigureStore, add, make_table, multiply, show
 
 
-def compute_hop_us(store: Store, n_shards: float) -> float | None:
-    """Return what one question and its answer cost both hosts together."""
+def compute_hop_us(store: FigureStore, n_shards: float) -> float | None:
+    """Return the cost of one request and reply on both hosts, in microseconds."""
     return store.compute("parts", "hop_us", n_shards)
 
 
-def compute_leaf_us(store: Store) -> float | None:
-    """Return what one leaf call costs its owner in a query of 85."""
+def compute_leaf_us(store: FigureStore) -> float | None:
+    """Return an owner's cost of a leaf call in a query over 85 shards."""
     return store.get("fanout", "ours_us_at_85")
 
 
 def list_query_parts(
-    store: Store, n_owners: float
+    store: FigureStore, n_owners: float
 ) -> list[tuple[str, float, float | None]]:
-    """Return what a host does for queries: name, times a second, microseconds."""
-    n_messages = QUERIES_A_HOST * n_owners
-    n_calls = CALLS_A_HOST
-    hop_us = compute_hop_us(store, SHARDS_A_QUERY / n_owners)
-    join_us = store.compute("parts", "join_us", SHARDS_A_QUERY)
+    """Return a host's work for queries: name, rate per second, microseconds each."""
+    n_messages = QUERIES_PER_S_PER_HOST * n_owners
+    n_calls = CALLS_PER_S_PER_HOST
+    hop_us = compute_hop_us(store, SHARDS_PER_QUERY / n_owners)
+    join_us = store.compute("parts", "join_us", SHARDS_PER_QUERY)
     line_us = store.get("decisions", "line_us_at_1")
-    caller_us = store.compute("parts", "caller_us", SHARDS_A_QUERY)
+    caller_us = store.compute("parts", "caller_us", SHARDS_PER_QUERY)
     return [
-        ("as coordinator, the callers' port", QUERIES_A_HOST, caller_us),
+        ("as coordinator, the callers' port", QUERIES_PER_S_PER_HOST, caller_us),
         ("as coordinator, half of each hop", n_messages, multiply(0.5, hop_us)),
-        ("as coordinator, joining a query's answers", QUERIES_A_HOST, join_us),
+        ("as coordinator, joining a query's answers", QUERIES_PER_S_PER_HOST, join_us),
         ("as owner, half of each hop", n_messages, multiply(0.5, hop_us)),
         ("as owner, a leaf call", n_calls, compute_leaf_us(store)),
         ("as owner, a line for each part of a plan", n_messages, line_us),
     ]
 
 
-def make_queries_table(store: Store) -> str:
-    """Return the processor time that queries cost one host today."""
+def make_queries_table(store: FigureStore) -> str:
+    """Return the processor time of queries on one host with the present design."""
     rows = []
     cores = []
-    for name, rate, cost_us in list_query_parts(store, OWNERS_A_QUERY):
-        share = multiply(rate, cost_us, MICRO)
+    for name, rate, cost_us in list_query_parts(store, OWNERS_PER_QUERY):
+        share = multiply(rate, cost_us, S_PER_US)
         cores.append(share)
         rows.append((name, show(rate), show(cost_us, "us"), show(share)))
     known = [value for value in cores if value is not None]
-    told = "all" if len(known) == len(cores) else "all that is measured"
-    rows.append((f"**{told}**", "", "", f"**{show(sum(known))}**"))
-    heads = ("what", "times a second", "each", "cores of a host")
-    return make_table(*heads, rows=iter(rows))
+    label = "all" if len(known) == len(cores) else "all that is measured"
+    rows.append((f"**{label}**", "", "", f"**{show(sum(known))}**"))
+    headers = ("what", "times a second", "each", "cores of a host")
+    return make_table(*headers, rows=iter(rows))
 
 
-def make_reach_table(store: Store) -> str:
-    """Return what fewer owners a query, and cheaper parts, would leave."""
+def make_reach_table(store: FigureStore) -> str:
+    """Return the cost of hops and leaf calls by the number of owners per query."""
     rows = []
     leaf_us = compute_leaf_us(store)
-    for n_owners in (OWNERS_A_QUERY, 20.0, 9.0, 1.0):
-        n_shards = SHARDS_A_QUERY / n_owners
+    for n_owners in (OWNERS_PER_QUERY, 20.0, 9.0, 1.0):
+        n_shards = SHARDS_PER_QUERY / n_owners
         hop_us = compute_hop_us(store, n_shards)
-        hops = multiply(QUERIES_A_HOST * n_owners, hop_us, MICRO)
-        each_us = multiply(hops, 1 / CALLS_A_HOST / MICRO)
-        total = add(hops, multiply(CALLS_A_HOST, leaf_us, MICRO))
+        hops = multiply(QUERIES_PER_S_PER_HOST * n_owners, hop_us, S_PER_US)
+        each_us = multiply(hops, 1 / CALLS_PER_S_PER_HOST / S_PER_US)
+        total = add(hops, multiply(CALLS_PER_S_PER_HOST, leaf_us, S_PER_US))
         rows.append(
             (
                 show(n_owners),
@@ -69,7 +75,7 @@
                 show(total),
             )
         )
-    heads = (
+    headers = (
         "owners a query",
         "shards a message",
         "a hop",
@@ -77,20 +83,20 @@
         "cores of a host for hops",
         "with the leaf calls",
     )
-    return make_table(*heads, rows=iter(rows))
+    return make_table(*headers, rows=iter(rows))
 
 
 N_BUNDLED_OWNERS = 9.0
 
 
-def make_steps_table(store: Store) -> str:
-    """Return the cores that a host would need after each step, one upon the other."""
-    today = _add_up(list_query_parts(store, OWNERS_A_QUERY))
+def make_steps_table(store: FigureStore) -> str:
+    """Return the cores that a host would need after each cumulative improvement."""
+    today = _add_up(list_query_parts(store, OWNERS_PER_QUERY))
     bundled = _add_up(list_query_parts(store, N_BUNDLED_OWNERS))
     saved_us = add(
         compute_leaf_us(store), multiply(-1, store.get("fanout", "h11_trial_us_at_85"))
     )
-    by_h11 = add(bundled, multiply(-1, saved_us, CALLS_A_HOST, MICRO))
+    by_h11 = add(bundled, multiply(-1, saved_us, CALLS_PER_S_PER_HOST, S_PER_US))
     rows = [
         ("today", show(today)),
         (f"a query has {N_BUNDLED_OWNERS:.0f} owners", show(bundled)),
@@ -100,11 +106,11 @@
 
 
 def _add_up(parts: list[tuple[str, float, float | None]]) -> float | None:
-    return add(*(multiply(rate, cost_us, MICRO) for _, rate, cost_us in parts))
+    return add(*(multiply(rate, cost_us, S_PER_US) for _, rate, cost_us in parts))
 
 
-def make_whole_table(store: Store) -> str:
-    """Return a whole query's cost by the size of the fleet, beside the sum of parts."""
+def make_whole_table(store: FigureStore) -> str:
+    """Return the cost of a whole query by fleet size, and the sum of its parts."""
     few = store.get_points("whole", "query_ms_few")
     many = store.get_points("whole", "query_ms_many")
     rows = [
@@ -116,26 +122,26 @@
         )
         for n_hosts, cost_ms in few.items()
     ]
-    heads = ("entry hosts", "2 callers", "16 callers", "sum of the parts")
-    return make_table(*heads, rows=iter(rows or [(UNKNOWN, "", "", "")]))
+    headers = ("entry hosts", "2 callers", "16 callers", "sum of the parts")
+    return make_table(*headers, rows=iter(rows or [(UNKNOWN, "", "", "")]))
 
 
-def _sum_query_ms(store: Store, n_hosts: int) -> float | None:
-    """Return the sum of parts of one query whose owners are all hosts but its own."""
+def _sum_query_ms(store: FigureStore, n_hosts: int) -> float | None:
+    """Return the summed cost of a query whose shards are owned by all the hosts."""
     n_remote = n_hosts - 1
     return multiply(
         1e-3,
         add(
-            store.compute("parts", "caller_us", SHARDS_A_QUERY),
-            store.compute("parts", "join_us", SHARDS_A_QUERY),
-            multiply(SHARDS_A_QUERY, compute_leaf_us(store)),
-            multiply(n_remote, compute_hop_us(store, SHARDS_A_QUERY / n_hosts)),
+            store.compute("parts", "caller_us", SHARDS_PER_QUERY),
+            store.compute("parts", "join_us", SHARDS_PER_QUERY),
+            multiply(SHARDS_PER_QUERY, compute_leaf_us(store)),
+            multiply(n_remote, compute_hop_us(store, SHARDS_PER_QUERY / n_hosts)),
             multiply(n_hosts, store.get("decisions", "line_us_at_20")),
         ),
     )
 
 
-LEAF_WAYS = (
+LEAF_CALL_VARIANTS = (
     ("ours_us", "ours: httpcore on our own accounting of connections"),
     ("h11_trial_us", "trial: h11 alone on a trio stream"),
     ("bytes_trial_us", "trial: the bytes alone, no HTTP read, as the floor"),
@@ -143,21 +149,21 @@
 )
 
 
-def make_ways_table(store: Store) -> str:
-    """Return the cost of a leaf call by ways, and the cores that it makes."""
+def make_ways_table(store: FigureStore) -> str:
+    """Return the cost of a leaf call by implementation, and the cores it takes."""
     rows = []
-    for name, told in LEAF_WAYS:
+    for name, label in LEAF_CALL_VARIANTS:
         points = store.get_points("fanout", name)
         text = ", ".join(f"{x:,}: {show(y)}" for x, y in points.items())
-        each = store.get("fanout", f"{name}_at_{SHARDS_A_QUERY}")
-        cores = multiply(each, CALLS_A_HOST, MICRO)
-        rows.append((told, text or UNKNOWN, show(cores)))
-    heads = ("way", "us a call by leafs of the query", "cores of a host at 85")
-    return make_table(*heads, rows=iter(rows))
+        each = store.get("fanout", f"{name}_at_{SHARDS_PER_QUERY}")
+        cores = multiply(each, CALLS_PER_S_PER_HOST, S_PER_US)
+        rows.append((label, text or UNKNOWN, show(cores)))
+    headers = ("way", "us a call by leafs of the query", "cores of a host at 85")
+    return make_table(*headers, rows=iter(rows))
 
 
-def make_together_table(store: Store) -> str:
-    """Return the cost of a hop by how many questions leave in one turn."""
+def make_together_table(store: FigureStore) -> str:
+    """Return the cost of a hop by requests sent in one event loop iteration."""
     points = store.get_points("parts", "hop_together_us")
     rows = ((show(n), show(us, "us")) for n, us in points.items())
     return make_table("questions in one turn", "a hop of one shard", rows=rows)
--- a/lab/reading.py
+++ b/lab/reading.py
@@ -1,7 +1,7 @@
-"""Measures reading settings as text and in resolved form; `python -m lab.reading`.
+"""Measures decoding of settings from text and resolved form; `python -m lab.reading`.
 
-The figures of docs/design/settings.md are its output. Processor time of this process,
-the least of five runs; nothing is sent.
+Reports the minimum processor time of several runs in this process, without network.
+Its output is quoted in docs/design/settings.md.
 """
 
 import json
@@ -23,14 +23,14 @@
 
 N_DATA_CENTRES = 10
 N_HOSTS = 550
-N_SERVERS = (130, 3_000, 6_000)
+SERVER_COUNTS = (130, 3_000, 6_000)
 N_RUNS = 5
-EDITS_A_SECOND = 3_300 / 86_400
-"""Letter 1's 3,300 changes of configuration a day."""
+EDITS_PER_S = 3_300 / 86_400
+"""The planned 3,300 settings edits a day, per second."""
 
 
 def make_text(n_servers: int) -> str:
-    """Return a settings file of 550 hosts and one service of pairs of servers."""
+    """Return a settings file with 550 hosts and one service of two-server groups."""
     data_centres: dict[str, dict[str, dict[str, object]]] = {
         f"dc-{number}": {"hosts": {}} for number in range(N_DATA_CENTRES)
     }
@@ -63,25 +63,25 @@
 
 
 def measure(function: Callable[[], object]) -> float:
-    """Return the least processor time of a few calls, in seconds."""
-    taken = []
+    """Return the minimum processor time of `N_RUNS` calls, in seconds."""
+    cpu_s = []
     for _ in range(N_RUNS):
         started = time.process_time()
         function()
-        taken.append(time.process_time() - started)
-    return min(taken)
+        cpu_s.append(time.process_time() - started)
+    return min(cpu_s)
 
 
 def read_object(stored: bytes) -> Settings:
-    """Read the platform's value as a host does that watches it."""
+    """Decode the platform's value as a watching host does."""
     value = decode_settings_object(stored, key="settings/large")
     return read_settings(value, key="settings/large", version=1)
 
 
 def main() -> None:
-    """Print the table and, last, the figures at 3,000 backend servers."""
+    """Print the table, then the figures at 3,000 backend servers as the last line."""
     print("servers text KB object KB  json s whole s object s decode s resolved KB")
-    for n_servers in N_SERVERS:
+    for n_servers in SERVER_COUNTS:
         text = make_text(n_servers)
         settings = parse_settings(text, file="large", version=1)
         resolved = encode_settings(settings)
@@ -97,13 +97,13 @@
             f"{len(resolved) / 1e3:11.1f}"
         )
         if n_servers == 3_000:
-            last = (
-                f"read_share={whole_s * EDITS_A_SECOND:.5f} "
-                f"object_share={object_s * EDITS_A_SECOND:.5f} "
-                f"decode_share={decode_s * EDITS_A_SECOND:.5f} "
-                f"bytes_per_s={len(resolved) * EDITS_A_SECOND:.0f}"
+            summary_line = (
+                f"read_share={whole_s * EDITS_PER_S:.5f} "
+                f"object_share={object_s * EDITS_PER_S:.5f} "
+                f"decode_share={decode_s * EDITS_PER_S:.5f} "
+                f"bytes_per_s={len(resolved) * EDITS_PER_S:.0f}"
             )
-    print(last)
+    print(summary_line)
 
 
 if __name__ == "__main__":
--- a/lab/reference.py
+++ b/lab/reference.py
@@ -1,7 +1,7 @@
-"""Writes the settings reference from the table of options; `python -m lab.reference`.
+"""Generates the settings reference; `python -m lab.reference`.
 
-The part of docs/operators/settings.md between the two marks is replaced; a test holds
-that it agrees with the table.
+The part of docs/operators/settings.md between two markers is generated from the table
+of options in state/options.py. A test checks that the page is up to date.
 """
 
 from collections.abc import Iterator
@@ -37,11 +37,14 @@
 
 
 def replace_reference(page: str) -> str:
-    """Return `page` with the part between the marks made anew."""
+    """Return `page` with the part between the markers regenerated.
+
+    Raises ValueError when a marker is missing.
+    """
     before, found, rest = page.partition(START)
     _, ended, after = rest.partition(END)
     if not found or not ended:
-        raise ValueError(f"{PAGE.name} lacks the marks {START} and {END}")
+        raise ValueError(f"{PAGE.name} lacks the markers {START} and {END}")
     return f"{before}{START}\n\n{write_reference()}\n\n{END}{after}"
 
 
@@ -88,7 +91,7 @@
 
 
 def main() -> None:
-    """Make the reference page agree with the table."""
+    """Regenerate the reference page."""
     page = PAGE.read_text(encoding="utf-8")
     PAGE.write_text(replace_reference(page), encoding="utf-8")
     print(PAGE)
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -1,9 +1,9 @@
-"""Time from the platform's acceptance of an edit to its being in force everywhere.
+"""Measures the time from acceptance of a settings edit until all hosts apply it.
 
-Real entry processes run on this machine; an edit is accepted when the platform's 200
-arrives here, and in force on a host at the time stamp of the line that it logs. Edits
-are made with nothing wrong, with one or all watch holders killed at the moment of
-acceptance, and with the platform down just after it. `make measure-settings` runs it.
+Real entry processes run on this machine. An edit is accepted when the platform's 200
+arrives, and in force on a host at the time of the host's log line. Edits are made
+without faults, with one or all watch holders killed at acceptance, and with the
+platform down just after it. `make measure-settings` runs it.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 from standins.fleet import parse_address
 
 from .bookers import call
-from .entries import CALL_LIMIT_S, EntryFleet, has_room, open_fleet
+from .entries import CALL_LIMIT_S, EntryFleet, has_memory_for, open_fleet
 from .figures import Value, make_figures, report
 from .processes import Running
 
-SIZES = (7, 25, 50, 100)
-N_EDITS = {7: 4, 25: 4, 50: 3, 100: 3}
+FLEET_SIZES = (7, 25, 50, 100)
+EDITS_BY_FLEET_SIZE = {7: 4, 25: 4, 50: 3, 100: 3}
 KEY = "settings/lab"
-LIMIT_S = 30.0
-WANTED_S = 13.0
-POLL_S = 0.1
+WAIT_LIMIT_S = 30.0
+TARGET_S = 13.0
+POLL_INTERVAL_S = 0.1
 SETTLE_S = 2.0
-N_HOLDERS = 2
+N_WATCH_HOLDERS = 2
 
 
 class Trouble(StrEnum):
-    """What goes wrong at the moment of acceptance."""
+    """The fault at the time of acceptance."""
 
     NONE = "nothing"
     HOLDER = "a watch holder killed"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Trial:
-    """One edit: the seconds until it was in force on the last host, and on half."""
+    """One edit: the seconds until it was in force on the last and the median host."""
 
     n_hosts: int
     trouble: Trouble
@@ -69,16 +69,19 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Log:
-    """What one process has said that it put in force, and when."""
+class HostLog:
+    """The versions that one process has logged as in force, with their times.
+
+    `n_read` counts the bytes of the log read so far.
+    """
 
     running: Running
     n_read: int = 0
     versions: list[tuple[int, float]] = field(default_factory=list)
     n_reverted: int = 0
 
-    def read_on(self) -> None:
-        """Take in the lines that came since the last call."""
+    def read_new_lines(self) -> None:
+        """Read the log lines written since the last call."""
         with self.running.stderr.open("rb") as file:
             file.seek(self.n_read)
             data = file.read()
@@ -86,9 +89,9 @@
         self.n_read += len(whole) + len(newline)
         for line in whole.splitlines():
             if b'"in force"' in line:
-                self._take(msgspec.json.decode(line))
+                self._record(msgspec.json.decode(line))
 
-    def _take(self, line: dict[str, Any]) -> None:
+    def _record(self, line: dict[str, Any]) -> None:
         if line.get("document") != KEY:
             return
         version = line["version"]
@@ -98,23 +101,23 @@
         self.versions.append((version, at))
 
     def find_time(self, version: int) -> float | None:
-        """Return when `version`, or a newer one, came in force first."""
+        """Return when `version` or a newer one first came into force (Unix time)."""
         return next((at for each, at in self.versions if each >= version), None)
 
 
 class Experiment:
-    """Edits on one fleet."""
+    """Makes edits on one fleet and records their trials."""
 
     def __init__(self, *, fleet: EntryFleet) -> None:
         self.trials: list[Trial] = []
         self.n_reverted = 0
         self.n_late_restarts = 0
         self._fleet = fleet
-        self._logs: dict[str, Log] = {}
+        self._logs: dict[str, HostLog] = {}
         self._n_edits = 0
 
     async def run(self, n_edits: int) -> None:
-        """Make so many edits with each trouble."""
+        """Make `n_edits` edits with each kind of fault."""
         address = parse_address(self._fleet.deployment.platform)
         async with PlatformClient(address=address) as platform:
             for trouble in Trouble:
@@ -124,21 +127,21 @@
             self.n_reverted += log.n_reverted
 
     async def _try_edit(self, platform: PlatformClient, trouble: Trouble) -> None:
-        victims = self._choose_victims(trouble)
-        for name in victims:
-            # Stopped first, so that it surely dies before it has read the edit.
+        hosts_to_kill = self._choose_hosts_to_kill(trouble)
+        for name in hosts_to_kill:
+            # Paused first, so that it cannot read the edit before it is killed.
             self._fleet.running[name].pause()
         version, accepted_at = await self._edit(platform)
         if trouble is Trouble.PLATFORM:
             await self._set_platform(down=True)
-        for name in victims:
+        for name in hosts_to_kill:
             await self._fleet.running[name].kill()
-        trial = await self._wait(version, accepted_at, trouble, victims)
+        trial = await self._wait(version, accepted_at, trouble, hosts_to_kill)
         self.trials.append(trial)
         print(trial, flush=True)
         await self._set_platform(down=False)
-        if victims:
-            await self._restart(victims, version)
+        if hosts_to_kill:
+            await self._restart(hosts_to_kill, version)
         await self._check_status(version)
         await trio.sleep(SETTLE_S)
 
@@ -171,20 +174,24 @@
         return stored.version, time.time()
 
     async def _wait(
-        self, version: int, accepted_at: float, trouble: Trouble, victims: list[str]
+        self,
+        version: int,
+        accepted_at: float,
+        trouble: Trouble,
+        hosts_to_kill: list[str],
     ) -> Trial:
-        names = [each for each in self._fleet.running if each not in victims]
-        with trio.move_on_after(LIMIT_S):
+        names = [each for each in self._fleet.running if each not in hosts_to_kill]
+        with trio.move_on_after(WAIT_LIMIT_S):
             while not all(self._find_time(name, version) for name in names):
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         times = [self._find_time(name, version) for name in names]
         seconds = sorted(max(0.0, at - accepted_at) for at in times if at is not None)
         n_missing = len(names) - len(seconds)
         return Trial(
             n_hosts=len(self._fleet.hosts),
             trouble=trouble,
-            worst_s=LIMIT_S if n_missing else seconds[-1],
-            median_s=statistics.median(seconds) if seconds else LIMIT_S,
+            worst_s=WAIT_LIMIT_S if n_missing else seconds[-1],
+            median_s=statistics.median(seconds) if seconds else WAIT_LIMIT_S,
             n_missing=n_missing,
         )
 
@@ -192,15 +199,15 @@
         running = self._fleet.running[name]
         log = self._logs.get(running.name)
         if log is None:
-            log = self._logs[running.name] = Log(running=running)
+            log = self._logs[running.name] = HostLog(running=running)
         found = log.find_time(version)
         if found is None:
-            log.read_on()
+            log.read_new_lines()
             found = log.find_time(version)
         return found
 
     async def _restart(self, names: list[str], version: int) -> None:
-        """Restart the killed; one that is ready must have the accepted version."""
+        """Restart killed hosts; a ready one must have the accepted version."""
         await self._fleet.start(names)
         for name in names:
             if self._find_time(name, version) is None:
@@ -208,7 +215,7 @@
         await self._fleet.join()
 
     async def _check_status(self, version: int) -> None:
-        """Ask each process itself, beside what its log says."""
+        """Also compare the version that each process reports at /status."""
         limiter = trio.CapacityLimiter(10)
 
         async def check(admin: str) -> None:
@@ -228,7 +235,7 @@
         answer = await call(self._fleet.platform_control, "POST", "/faults", body=body)
         assert answer is not None and answer.status < 300
 
-    def _choose_victims(self, trouble: Trouble) -> list[str]:
+    def _choose_hosts_to_kill(self, trouble: Trouble) -> list[str]:
         members = [
             Member(
                 name=host.name,
@@ -238,27 +245,27 @@
             )
             for host in self._fleet.hosts
         ]
-        holders = choose_watch_holders(members, N_HOLDERS)
+        holders = choose_watch_holders(members, N_WATCH_HOLDERS)
         match trouble:
             case Trouble.HOLDER:
-                return [holders[self._n_edits % N_HOLDERS]]
+                return [holders[self._n_edits % N_WATCH_HOLDERS]]
             case Trouble.ALL_HOLDERS:
                 return list(holders)
         return []
 
 
 def make_table(trials: list[Trial]) -> Table:
-    """Return a row for each size and trouble."""
+    """Return a table with a row for each fleet size and kind of fault."""
     table = Table("hosts", "trouble", "edits", "worst s", "median s", "missing")
     for n_hosts, trouble in dict.fromkeys((t.n_hosts, t.trouble) for t in trials):
-        some = [t for t in trials if (t.n_hosts, t.trouble) == (n_hosts, trouble)]
+        selected = [t for t in trials if (t.n_hosts, t.trouble) == (n_hosts, trouble)]
         table.add_row(
             str(n_hosts),
             trouble.value,
-            str(len(some)),
-            f"{max(t.worst_s for t in some):.2f}",
-            f"{statistics.median(t.median_s for t in some):.3f}",
-            str(sum(t.n_missing for t in some)),
+            str(len(selected)),
+            f"{max(t.worst_s for t in selected):.2f}",
+            f"{statistics.median(t.median_s for t in selected):.3f}",
+            str(sum(t.n_missing for t in selected)),
         )
     return table
 
@@ -266,7 +273,7 @@
 def compute_figures(
     trials: list[Trial], n_reverted: int, n_missing: int
 ) -> dict[str, float]:
-    """Return the worst times by size and trouble, and the three of the last line."""
+    """Return the worst times by size and fault, and the summary figures."""
     figures: dict[str, float] = {}
     for trial in trials:
         key = f"{trial.trouble.name.lower()}_worst_s_at_{trial.n_hosts}"
@@ -278,18 +285,18 @@
 
 
 async def measure(sizes: tuple[int, ...], *, is_saved: bool) -> None:
-    """Run each size that the machine has room for, and report."""
+    """Measure each fleet size that the machine has enough memory for, and report."""
     trials: list[Trial] = []
     n_reverted = 0
     n_missing = 0
     done: list[int] = []
     for n_hosts in sizes:
-        if not has_room(n_hosts):
-            print(f"{n_hosts} hosts left out: half of the memory would be taken")
+        if not has_memory_for(n_hosts):
+            print(f"{n_hosts} hosts skipped: they would use half of the memory")
             continue
         async with open_fleet(n_hosts) as fleet:
             experiment = Experiment(fleet=fleet)
-            await experiment.run(N_EDITS.get(n_hosts, 2))
+            await experiment.run(EDITS_BY_FLEET_SIZE.get(n_hosts, 2))
         trials += experiment.trials
         n_reverted += experiment.n_reverted
         n_missing += experiment.n_late_restarts
@@ -313,7 +320,7 @@
 @click.argument("sizes", type=int, nargs=-1)
 def main(sizes: tuple[int, ...]) -> None:
     """Measure at SIZES entry processes; only the default sizes are saved."""
-    trio.run(lambda: measure(sizes or SIZES, is_saved=not sizes))
+    trio.run(lambda: measure(sizes or FLEET_SIZES, is_saved=not sizes))
 
 
 if __name__ == "__main__":
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through saved points, and how figures are shown on pages."""
+"""Fits lines through saved points and formats figures for tables."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Slope:
-    """A line through measured points, by least squares.
+    """A line through measured points, by weighted least squares.
 
-    `error` is the largest distance of a point from the line, as a share of the point.
+    `error` is the largest deviation of a point from the line, relative to the point.
 
     >>> line = fit_line({1: 3.0, 2: 5.0, 4: 9.0})
     >>> round(line.slope, 9), round(line.intercept, 9), round(line.error, 9)
@@ -28,15 +28,15 @@
     error: float
 
     def compute(self, x: float) -> float:
-        """Return the height of the line at `x`."""
+        """Return the value of the line at `x`."""
         return self.intercept + self.slope * x
 
 
 def fit_line(points: dict[int, float]) -> Slope:
-    """Fit a line to two points or more.
+    """Fit a line to two points or more, minimizing relative deviations.
 
-    Each distance counts as a share of its point: else the largest point alone would
-    set the line, and the small sizes that most messages have would be far from it.
+    Absolute deviations would let the largest point dominate, with large errors at the
+    small sizes that most messages have.
     """
     weights = {x: 1 / y**2 for x, y in points.items()}
     total = sum(weights.values())
@@ -50,8 +50,8 @@
     return Slope(points=points, slope=slope, intercept=intercept, error=error)
 
 
-class Store:
-    """The saved figures of all measures; what was never run is absent."""
+class FigureStore:
+    """The saved figures of all measures that were run, by measure."""
 
     def __init__(self, *, directory: Path = DIRECTORY) -> None:
         self.runs: dict[str, Figures] = {
@@ -60,12 +60,12 @@
         }
 
     def get(self, measure: str, name: str) -> float | None:
-        """Return one figure, or None when it was not measured."""
+        """Return one figure, or None if it was not measured."""
         run = self.runs.get(measure)
         return run.figures.get(name) if run else None
 
     def get_points(self, measure: str, name: str) -> dict[int, float]:
-        """Return the points of a part, saved as `name_at_X`."""
+        """Return the points of a part by x; they are saved as `name_at_X`."""
         run = self.runs.get(measure)
         figures = run.figures if run else {}
         prefix = f"{name}_at_"
@@ -76,18 +76,18 @@
         }
 
     def get_slope(self, measure: str, name: str) -> Slope | None:
-        """Return the line through a part's points, or None without two of them."""
+        """Return the line through a part's points, or None for fewer than two."""
         points = self.get_points(measure, name)
         return fit_line(points) if len(points) > 1 else None
 
     def compute(self, measure: str, name: str, x: float) -> float | None:
-        """Return the line of a part at `x`, or None when it was not measured."""
+        """Return the value of a part's line at `x`, or None if it was not measured."""
         slope = self.get_slope(measure, name)
         return slope.compute(x) if slope else None
 
 
 def add(*values: float | None) -> float | None:
-    """Return the sum, or None when a part of it was not measured.
+    """Return the sum, or None if a term was not measured.
 
     >>> add(1.0, 2.0), add(1.0, None)
     (3.0, None)
@@ -101,7 +101,7 @@
 
 
 def multiply(*values: float | None) -> float | None:
-    """Return the product, or None when a part of it was not measured."""
+    """Return the product, or None if a factor was not measured."""
     product = 1.0
     for value in values:
         if value is None:
@@ -111,7 +111,7 @@
 
 
 def show(value: float | None, unit: str = "") -> str:
-    """Return a figure with three digits, and thousands apart.
+    """Format a figure with three significant digits and thousands separators.
 
     >>> show(17000.0, "us"), show(0.03456), show(None)
     ('17,000 us', '0.0346', 'not measured')
@@ -122,7 +122,7 @@
     return f"{text} {unit}".rstrip()
 
 
-def make_table(*heads: str, rows: Iterator[tuple[str, ...]]) -> str:
+def make_table(*headers: str, rows: Iterator[tuple[str, ...]]) -> str:
     """Return a table in Markdown."""
-    lines = [heads, tuple("---" for _ in heads), *rows]
+    lines = [headers, tuple("---" for _ in headers), *rows]
     return "".join(f"| {' | '.join(line)} |\n" for line in lines)
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -1,7 +1,7 @@
-"""The tables of docs/CAPACITY.md: the size of two years, and what it costs.
+"""The tables of docs/CAPACITY.md about the planned size and its cost.
 
-Each table is a function of the saved figures. What was not measured is said to be so
-and is left out of sums.
+Each table is a function of the saved figures. Figures that were not measured are shown
+as such.
 """
 
 from collections.abc import Callable
@@ -25,89 +25,104 @@
     make_whole_table,
 )
 from .sizes import (
-    CALLS_A_HOST,
-    DAY_S,
+    CALLS_PER_S_PER_HOST,
     DEADLINE_S,
     EDITS_PER_S,
-    GROUPS_A_HOST,
-    HEDGE_BUDGET,
-    HOPS_A_BOOKING,
+    GROUPS_PER_HOST,
+    HEDGE_BUDGET_SHARE,
+    HOPS_PER_BOOKING,
     MAX_TICKETS,
-    MESSAGES_A_HOST,
-    MICRO,
+    MESSAGES_PER_S_PER_HOST,
     N_DATA_CENTRES,
     N_HOSTS,
     N_LEAFS,
     N_REGIONS,
-    OWNERS_A_QUERY,
+    OWNERS_PER_QUERY,
     PARTS,
-    QUERIES_A_HOST,
     QUERIES_PER_S,
-    RESTARTS_A_DAY,
-    RETRY_BUDGET,
-    SHARDS_A_MESSAGE,
-    SHARDS_A_QUERY,
+    QUERIES_PER_S_PER_HOST,
+    RESTARTS_PER_DAY,
+    RETRY_BUDGET_SHARE,
+    S_PER_US,
+    SECONDS_PER_DAY,
+    SHARDS_PER_MESSAGE,
+    SHARDS_PER_QUERY,
     TICKET_LIFETIME_S,
     Part,
 )
-from .slopes import UNKNOWN, Store, add, make_table, multiply, show
+from .slopes import UNKNOWN, FigureStore, add, make_table, multiply, show
 
 
-def make_size_table(store: Store) -> str:
-    """Return what the size means for one host and one backend server."""
+def make_size_table(store: FigureStore) -> str:
+    """Return the load of one host and one backend server at the planned size."""
     rows = [
-        ("queries a host", show(QUERIES_A_HOST, "a second")),
-        ("leaf calls a host", show(CALLS_A_HOST, "a second")),
-        ("of one core for each leaf call", show(1 / CALLS_A_HOST / MICRO, "us")),
-        ("groups that a host owns, of 3,000", show(GROUPS_A_HOST)),
-        ("owners that a query's 85 shards have", show(OWNERS_A_QUERY)),
-        ("shards in one message to an owner", show(SHARDS_A_MESSAGE)),
-        ("messages to owners that a host sends", show(MESSAGES_A_HOST, "a second")),
-        ("queries under way at a host, at the most", show(QUERIES_A_HOST * DEADLINE_S)),
-        ("calls that a backend server sees", show(_calls_a_leaf(), "a second")),
+        ("queries a host", show(QUERIES_PER_S_PER_HOST, "a second")),
+        ("leaf calls a host", show(CALLS_PER_S_PER_HOST, "a second")),
+        (
+            "of one core for each leaf call",
+            show(1 / CALLS_PER_S_PER_HOST / S_PER_US, "us"),
+        ),
+        ("groups that a host owns, of 3,000", show(GROUPS_PER_HOST)),
+        ("owners that a query's 85 shards have", show(OWNERS_PER_QUERY)),
+        ("shards in one message to an owner", show(SHARDS_PER_MESSAGE)),
+        (
+            "messages to owners that a host sends",
+            show(MESSAGES_PER_S_PER_HOST, "a second"),
+        ),
+        (
+            "queries under way at a host, at the most",
+            show(QUERIES_PER_S_PER_HOST * DEADLINE_S),
+        ),
+        (
+            "calls that a backend server sees",
+            show(_calculate_calls_per_s_per_leaf(), "a second"),
+        ),
         ("edits", show(EDITS_PER_S, "a second")),
-        ("hosts restarted or replaced: one in", show(DAY_S / RESTARTS_A_DAY, "s")),
+        (
+            "hosts restarted or replaced: one in",
+            show(SECONDS_PER_DAY / RESTARTS_PER_DAY, "s"),
+        ),
     ]
     return make_table("what", "figure", rows=iter(rows))
 
 
-def _calls_a_leaf() -> float:
-    return QUERIES_PER_S * SHARDS_A_QUERY / N_LEAFS
+def _calculate_calls_per_s_per_leaf() -> float:
+    return QUERIES_PER_S * SHARDS_PER_QUERY / N_LEAFS
 
 
-def make_slopes_table(store: Store) -> str:
-    """Return each part's points, its line, the error, and its value at the size."""
-    heads = ("part", "points", "line", "error", "at the size")
-    return make_table(*heads, rows=(_make_slope_row(store, part) for part in PARTS))
+def make_slopes_table(store: FigureStore) -> str:
+    """Return each part's points, line, error and value at the planned size."""
+    headers = ("part", "points", "line", "error", "at the size")
+    return make_table(*headers, rows=(_make_slope_row(store, part) for part in PARTS))
 
 
-def _make_slope_row(store: Store, part: Part) -> tuple[str, ...]:
-    told = f"{part.told} (`{part.measure}`: `{part.name}`)"
+def _make_slope_row(store: FigureStore, part: Part) -> tuple[str, ...]:
+    label = f"{part.label} (`{part.measure}`: `{part.name}`)"
     slope = store.get_slope(part.measure, part.name)
     if slope is None:
-        return (told, UNKNOWN, "", "", UNKNOWN)
+        return (label, UNKNOWN, "", "", UNKNOWN)
     points = ", ".join(f"{x:,}: {show(y)}" for x, y in slope.points.items())
-    line = f"{slope.intercept:,.4g} + {slope.slope:,.4g} x {part.by}"
-    value = f"{show(slope.compute(part.at), part.unit)} at {show(part.at)}"
-    return (told, points, line, f"{slope.error:.0%}", value)
+    line = f"{slope.intercept:,.4g} + {slope.slope:,.4g} x {part.x_unit}"
+    value = f"{show(slope.compute(part.target_x), part.unit)} at {show(part.target_x)}"
+    return (label, points, line, f"{slope.error:.0%}", value)
 
 
-def make_bookings_table(store: Store) -> str:
-    """Return what bookings cost a host at the limit of its tickets."""
+def make_bookings_table(store: FigureStore) -> str:
+    """Return the cost of bookings on a host at its limit of tickets."""
     rate = MAX_TICKETS / TICKET_LIFETIME_S
     hop_us = compute_hop_us(store, 1)
     issuer_us = _divide_by_tickets(store.compute("parts", "issuer_us", MAX_TICKETS))
     witness_us = _divide_by_tickets(store.compute("parts", "witness_us", MAX_TICKETS))
     share = multiply(
-        rate, MICRO, add(issuer_us, witness_us, multiply(HOPS_A_BOOKING, hop_us))
+        rate, S_PER_US, add(issuer_us, witness_us, multiply(HOPS_PER_BOOKING, hop_us))
     )
     rows = [
         ("bookings that one host may issue", show(rate, "a second")),
         ("issuer's records, a booking", show(issuer_us, "us")),
         ("witness's records, a booking", show(witness_us, "us")),
         (
-            f"{HOPS_A_BOOKING} hops, both hosts",
-            show(multiply(HOPS_A_BOOKING, hop_us), "us"),
+            f"{HOPS_PER_BOOKING} hops, both hosts",
+            show(multiply(HOPS_PER_BOOKING, hop_us), "us"),
         ),
         ("all of them at that rate", show(multiply(share, 100), "% of a core")),
         ("writes to the platform", "0"),
@@ -125,14 +140,14 @@
     return multiply(value, 1 / MAX_TICKETS)
 
 
-def make_backend_table(store: Store) -> str:
-    """Return what one backend server sees, and the slots that it would need."""
-    calls = _calls_a_leaf()
+def make_backend_table(store: FigureStore) -> str:
+    """Return the load of one backend server, and the slots that it needs."""
+    calls = _calculate_calls_per_s_per_leaf()
     rows = [
         ("calls", show(calls, "a second")),
         (
             "with hedges and retries at their budgets",
-            show(calls * (1 + HEDGE_BUDGET + RETRY_BUDGET), "a second"),
+            show(calls * (1 + HEDGE_BUDGET_SHARE + RETRY_BUDGET_SHARE), "a second"),
         ),
         ("time of a call that 2 slots leave", show(2_000 / calls, "ms")),
         ("busy slots at 1 ms a call", show(calls * 0.001)),
@@ -142,8 +157,8 @@
     return make_table("what", "figure", rows=iter(rows))
 
 
-def make_failures_table(store: Store) -> str:
-    """Return what the failures of letter 1 cost the hosts that stay."""
+def make_failures_table(store: FigureStore) -> str:
+    """Return the cost of the planned failures for the remaining hosts."""
     rank_us = store.compute("parts", "rank_join_by_groups_us", N_LEAFS)
     left = N_HOSTS * (1 - 1 / N_DATA_CENTRES)
     region = N_HOSTS / N_REGIONS
@@ -151,7 +166,7 @@
     rows = [
         (
             "a restart, one in 127 s",
-            f"{show(GROUPS_A_HOST)} groups move, twice",
+            f"{show(GROUPS_PER_HOST)} groups move, twice",
             f"the loop stands for {show(multiply(rank_us, 1e-3), 'ms')} at the join",
         ),
         (
@@ -171,8 +186,8 @@
     return make_table("failure", "state that moves", "cost", rows=iter(rows))
 
 
-def make_measured_table(store: Store) -> str:
-    """Return the last run of each measure, with all its figures but the points."""
+def make_measured_table(store: FigureStore) -> str:
+    """Return the last run of each measure, with its figures except points."""
     rows = []
     for measure, run in store.runs.items():
         figures = ", ".join(
@@ -186,7 +201,7 @@
     return make_table("measure", "run", "figures", rows=iter(rows))
 
 
-TABLES: dict[str, Callable[[Store], str]] = {
+TABLES: dict[str, Callable[[FigureStore], str]] = {
     "size": make_size_table,
     "slopes": make_slopes_table,
     "queries": make_queries_table,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,8 +7,8 @@
 from lab.capacity import PAGE, PLOT, PageError, digest_points, fill_page, find_missing
 from lab.figures import DIRECTORY, make_figures, save_figures
 from lab.parts import make_answers, make_search, measure_points, pass_through_codec
-from lab.sizes import OWNERS_A_QUERY, PARTS
-from lab.slopes import Store, fit_line
+from lab.sizes import OWNERS_PER_QUERY, PARTS
+from lab.slopes import FigureStore, fit_line
 from lab.tables import TABLES
 
 
@@ -17,24 +17,24 @@
 
     def test_tables_agree_with_the_saved_figures(self):
         text = PAGE.read_text()
-        assert fill_page(text, Store()) == text, "run `make capacity`"
+        assert fill_page(text, FigureStore()) == text, "run `make capacity`"
 
     def test_no_table_is_left_out(self):
         assert find_missing(PAGE.read_text()) == set()
 
     def test_the_plot_is_of_the_saved_figures(self):
-        assert digest_points(Store()) in PLOT.read_text(), "run `make capacity`"
+        assert digest_points(FigureStore()) in PLOT.read_text(), "run `make capacity`"
 
     def test_a_changed_figure_changes_the_page(self, tmp_path):
         shutil.copy(DIRECTORY / "parts.json", tmp_path)
-        store = Store(directory=tmp_path)
+        store = FigureStore(directory=tmp_path)
         before = fill_page(PAGE.read_text(), store)
         store.runs["parts"].figures["hop_us_at_1"] *= 2
         assert fill_page(before, store) != before
 
     def test_an_unknown_table_is_refused(self):
         with pytest.raises(PageError, match="no table 'wishes'"):
-            fill_page("<!-- table: wishes -->\n<!-- end -->", Store())
+            fill_page("<!-- table: wishes -->\n<!-- end -->", FigureStore())
 
 
 class TestWithoutFigures:
@@ -42,17 +42,17 @@
 
     @pytest.mark.parametrize("name", sorted(TABLES))
     def test_every_table_can_be_made(self, name, tmp_path):
-        assert TABLES[name](Store(directory=tmp_path)).startswith("| ")
+        assert TABLES[name](FigureStore(directory=tmp_path)).startswith("| ")
 
     def test_what_is_worked_out_from_it_is_said_not_to_be_measured(self, tmp_path):
-        rows = TABLES["slopes"](Store(directory=tmp_path)).splitlines()[2:]
+        rows = TABLES["slopes"](FigureStore(directory=tmp_path)).splitlines()[2:]
         assert len(rows) == len(PARTS)
         assert all(row.endswith("| not measured |") for row in rows)
 
     def test_a_sum_says_that_a_part_is_missing(self, tmp_path):
         points = {"hop_us_at_1": 200.0, "hop_us_at_85": 2_000.0}
         save_figures(make_figures("parts", points), directory=tmp_path)
-        table = TABLES["queries"](Store(directory=tmp_path))
+        table = TABLES["queries"](FigureStore(directory=tmp_path))
         assert "all that is measured" in table
         assert "leaf call | 17,000 | not measured | not measured |" in table
 
@@ -70,7 +70,7 @@
 
     def test_owners_of_a_query_are_what_drawing_gives(self):
         # 85 of 550 without any two alike would be 85; a few are.
-        assert pytest.approx(78.8, abs=0.1) == OWNERS_A_QUERY
+        assert pytest.approx(78.8, abs=0.1) == OWNERS_PER_QUERY
 
 
 class TestParts:
