--- a/lab/binary.py
+++ b/lab/binary.py
@@ -1,8 +1,8 @@
-"""Builds the one file that ships, checks it, and measures files built in other ways.
+"""Builds and checks the released executable, and measures alternative builds.
 
-`build` makes dist/lavendergap, byte for byte the same from the same sources and
-dependencies. `check` runs it as an operator would. `measure FILE...` starts each
-file with `--version` and prints a table; docs/design/binary.md holds the outcome.
+`build` writes dist/lavendergap reproducibly: the same sources and dependencies give
+the same bytes. `check` runs it as an operator would. `measure FILE...` starts each
+file with `--version` and prints a table; the results are in docs/design/binary.md.
 """
 
 from __future__ import annotations
@@ -36,25 +36,25 @@
 BINARY = Path("dist/lavendergap")
 ENTRY_POINT = "lavendergap.startup:main"
 
-# The version whose compiled files the binary carries.
+# The Python version that the bundled bytecode is compiled for.
 INTERPRETER = f"/usr/bin/env python3.{sys.version_info.minor}"
 
-# Any fixed moment: archives hold the times of their files.
+# A fixed modification time for archived files, for a reproducible build.
 BUILD_EPOCH_S = "1577836800"
 
-# Where the binary unpacks; also the variable that PyInstaller and Nuitka heed.
+# Environment variables that decide where shiv, PyInstaller and Nuitka unpack.
 UNPACK_VARIABLES = ("SHIV_ROOT", "TMPDIR", "HOME", "XDG_CACHE_HOME")
-N_STARTS = 5
-SYSTEM_CALLS = "execve,clone,clone3,fork,vfork"
+N_LATER_STARTS = 5
+PROCESS_SYSTEM_CALLS = "execve,clone,clone3,fork,vfork"
 
 
 class CheckError(click.ClickException):
-    """The built file does not do what it has to; the message says what it did."""
+    """The built file failed a check; the message describes the failure."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Start:
-    """What was seen of one start of a file."""
+class StartResult:
+    """Duration, process count and output of one run of an executable."""
 
     seconds: float
     n_processes: int
@@ -63,13 +63,13 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Group the commands."""
+    """Run a subcommand."""
 
 
 @main.command()
 def build() -> None:
     """Build dist/lavendergap."""
-    # All of it: setuptools keeps its own copies of modules there, deleted ones too.
+    # setuptools keeps copies of modules in build/, also of deleted ones.
     shutil.rmtree(SITE.parent, ignore_errors=True)
     BINARY.unlink(missing_ok=True)
     BINARY.parent.mkdir(exist_ok=True)
@@ -81,7 +81,7 @@
 
 
 def _install(site: Path) -> None:
-    """Install the package and its dependencies, without traces of this machine."""
+    """Install the package and its dependencies without machine-specific metadata."""
     _run_python(
         "pip",
         "install",
@@ -98,9 +98,9 @@
 
 
 def _compile(site: Path) -> None:
-    """Compile every module ahead, so that a host does not do it at each new start.
+    """Precompile every module, so that a host does not compile at each start.
 
-    Unchecked: unpacking gives files new times, which would make checked ones stale.
+    Unpacking changes modification times, which would invalidate checked bytecode.
     """
     _run_python(
         "compileall", "-q", "-s", str(site), "--invalidation-mode", "unchecked-hash",
@@ -130,22 +130,22 @@
 
 @main.command()
 def check() -> None:
-    """Run the built file as an operator would, on an empty memory file system."""
-    with tempfile.TemporaryDirectory() as place:
-        environment = _make_environment(Path(place))
+    """Run the built file as an operator would, with an empty unpack directory."""
+    with tempfile.TemporaryDirectory() as directory:
+        environment = _make_environment(Path(directory))
         version = start_file(BINARY, ["--version"], environment)
         _require(version.n_processes == 1, f"{version.n_processes} processes started")
-        _require("lavendergap" in version.output, f"--version said {version.output}")
+        _require("lavendergap" in version.output, f"--version printed {version.output}")
         for example in sorted(Path("examples").glob("*.jsonc")):
             command = ["settings", "check", str(example)]
             outcome = start_file(BINARY, command, environment)
             print(f"settings check {example}: {outcome.output.strip()}")
         trio.run(_check_daemon, environment)
-    print("The binary is as it should be.")
+    print("The binary passed all checks.")
 
 
 async def _check_daemon(environment: dict[str, str]) -> None:
-    """Start the daemon from the file; it must be one process, and end when asked."""
+    """Start the daemon; it must run as one process and stop on SIGTERM with 0."""
     shape = DeploymentShape(n_hosts=1, services=(ServiceShape(name="scheduler"),))
     async with open_processes() as processes:
         deployment = write_deployment(shape=shape, directory=processes.directory)
@@ -162,8 +162,8 @@
         rss_mb = read_usage(daemon.pid).rss_bytes / 1e6
         exit_code = await daemon.stop()
     _require(n_children == 0, f"the daemon started {n_children} processes")
-    _require(exit_code == 0, f"the daemon ended with {exit_code}")
-    print(f"entry: ready, one process, {rss_mb:.0f} MB resident, ended with 0")
+    _require(exit_code == 0, f"the daemon exited with {exit_code}")
+    print(f"entry: ready, one process, {rss_mb:.0f} MB resident, exited with 0")
 
 
 def _require(condition: bool, message: str) -> None:
@@ -172,7 +172,7 @@
 
 
 def read_children(pid: int) -> tuple[int, ...]:
-    """Return the ids of the processes that `pid` has started and that still live."""
+    """Return the ids of the running child processes of `pid`."""
     lists = Path(f"/proc/{pid}/task").glob("*/children")
     return tuple(int(child) for each in lists for child in each.read_text().split())
 
@@ -180,10 +180,10 @@
 @main.command()
 @click.argument("files", nargs=-1, type=click.Path(exists=True, path_type=Path))
 def measure(files: tuple[Path, ...]) -> None:
-    """Start each file with --version on a memory file system, and print a table."""
+    """Start each file with --version and print a table."""
     table = Table(
         "file", "size MB", "first start s", "later s", "processes", "left MB",
-        title=f"median of {N_STARTS} later starts",
+        title=f"median of {N_LATER_STARTS} later starts",
     )  # fmt: skip
     for file in files:
         table.add_row(*_measure_file(file.absolute()))
@@ -191,12 +191,14 @@
 
 
 def _measure_file(file: Path) -> tuple[str, ...]:
-    with tempfile.TemporaryDirectory() as place:
-        environment = _make_environment(Path(place))
+    with tempfile.TemporaryDirectory() as directory:
+        environment = _make_environment(Path(directory))
         first = start_file(file, ["--version"], environment)
-        later = [start_file(file, ["--version"], environment) for _ in range(N_STARTS)]
+        later = [
+            start_file(file, ["--version"], environment) for _ in range(N_LATER_STARTS)
+        ]
         left_bytes = sum(
-            path.stat().st_size for path in Path(place).rglob("*") if path.is_file()
+            path.stat().st_size for path in Path(directory).rglob("*") if path.is_file()
         )
     return (
         file.name,
@@ -208,19 +210,19 @@
     )
 
 
-def _make_environment(place: Path) -> dict[str, str]:
-    environment = dict.fromkeys(UNPACK_VARIABLES, str(place))
-    # Without this project's own environment: the file must stand by itself.
+def _make_environment(directory: Path) -> dict[str, str]:
+    environment = dict.fromkeys(UNPACK_VARIABLES, str(directory))
+    # Excludes this project's virtual environment, which the file must not need.
     environment["PATH"] = f"{Path(sys.base_prefix) / 'bin'}:/usr/bin:/bin"
     return environment
 
 
 def start_file(
     file: Path, arguments: Sequence[str], environment: dict[str, str]
-) -> Start:
-    """Run `file` to its end, timed; count its processes in a second run if we can.
+) -> StartResult:
+    """Time a run of `file`, then count its processes in a second run.
 
-    Raises `CheckError` when it ends with anything but 0.
+    The count is 0 without strace. Raises `CheckError` on a nonzero exit code.
     """
     command = [str(file.absolute()), *arguments]
     started_s = time.perf_counter()
@@ -230,9 +232,9 @@
     seconds = time.perf_counter() - started_s
     if result.returncode != 0:
         raise CheckError(
-            f"{' '.join(command)}: ended with {result.returncode}: {result.stderr}"
+            f"{' '.join(command)}: exited with {result.returncode}: {result.stderr}"
         )
-    return Start(
+    return StartResult(
         seconds=seconds,
         n_processes=_count_processes(command, environment),
         output=result.stdout,
@@ -240,13 +242,21 @@
 
 
 def _count_processes(command: Sequence[str], environment: dict[str, str]) -> int:
-    """Count the processes of a run by the calls that make them; 0 without strace."""
+    """Count the processes of a run by tracing system calls; 0 without strace."""
     tracer = shutil.which("strace")
     if tracer is None:
         return 0
-    with tempfile.TemporaryDirectory() as place:
-        log = Path(place) / "calls"
-        trace = [tracer, "-f", "-qq", "-e", f"trace={SYSTEM_CALLS}", "-o", str(log)]
+    with tempfile.TemporaryDirectory() as directory:
+        log = Path(directory) / "calls"
+        trace = [
+            tracer,
+            "-f",
+            "-qq",
+            "-e",
+            f"trace={PROCESS_SYSTEM_CALLS}",
+            "-o",
+            str(log),
+        ]
         subprocess.run(
             [*trace, *command], check=True, capture_output=True, env=environment
         )
--- a/lab/bookers.py
+++ b/lab/bookers.py
@@ -1,4 +1,4 @@
-"""Callers that book as real ones do: they wait, retry elsewhere, and give up."""
+"""Simulated callers that send bookings with timeouts and retries."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -12,17 +12,17 @@
 from standins.fleet import parse_address
 
 DEADLINE_MS = 600
-CALL_LIMIT = 1.0
-READY_INTERVAL = 0.5
-READY_LIMIT = 0.3
-RETRY_PAUSE = 0.25
+CALL_LIMIT_S = 1.0
+READY_INTERVAL_S = 0.5
+READY_LIMIT_S = 0.3
+RETRY_PAUSE_S = 0.25
 MAX_TICKETS = 3
 MAX_TRIES = 8
 JSON = {"Content-Type": "application/json"}
 
 
 class Ending(StrEnum):
-    """What a caller knows in the end."""
+    """The result of a booking as its caller sees it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
@@ -32,10 +32,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class Booking:
-    """One booking, its ending, and what its caller was told on the way.
+    """One booking, its final result, and the responses that its caller received.
 
-    Each ticket's request has an id of its own, so that the backend servers' counts
-    prove or refute what was told of that ticket.
+    Each ticket's request has its own id, so that the responses for that ticket can be
+    compared with the run counts of the backend servers. Times are in seconds.
     """
 
     name: str
@@ -45,8 +45,8 @@
     request_ids: list[str] = field(default_factory=list)
     told_not_run: list[str] = field(default_factory=list)
     told_answered: list[str] = field(default_factory=list)
-    doubts: list[str] = field(default_factory=list)
-    surprises: list[str] = field(default_factory=list)
+    unknown_reasons: list[str] = field(default_factory=list)
+    unexpected_answers: list[str] = field(default_factory=list)
 
 
 async def call(
@@ -56,9 +56,12 @@
     *,
     headers: Mapping[str, str] | None = None,
     body: bytes = b"",
-    limit: float = CALL_LIMIT,
+    limit: float = CALL_LIMIT_S,
 ) -> Answer | None:
-    """Make one call over a connection of its own; None without a whole answer."""
+    """Make one call over a new connection; return None without a complete answer.
+
+    `limit` is in seconds.
+    """
     to = parse_address(address)
     with trio.move_on_after(limit):
         try:
@@ -75,72 +78,84 @@
 
 
 class Balancer:
-    """Chooses among the hosts that said a moment ago that they are ready."""
+    """Chooses among the hosts whose last readiness check succeeded.
+
+    `admin_addresses` maps a host's address for callers to its admin address.
+    """
 
-    def __init__(self, *, admin: Mapping[str, str], dice: random.Random) -> None:
-        self._admin = admin
-        self._dice = dice
-        self._ready = set(admin)
+    def __init__(
+        self, *, admin_addresses: Mapping[str, str], rng: random.Random
+    ) -> None:
+        self._admin_addresses = admin_addresses
+        self._rng = rng
+        self._ready = set(admin_addresses)
 
     async def run(self) -> None:
-        """Ask all hosts for readiness, now and then, until cancelled."""
+        """Check the readiness of all hosts periodically, until cancelled."""
         while True:
             async with trio.open_nursery() as nursery:
-                for callers in self._admin:
-                    nursery.start_soon(self._ask, callers)
-            await trio.sleep(READY_INTERVAL)
-
-    async def _ask(self, callers: str) -> None:
-        answer = await call(self._admin[callers], "GET", "/ready", limit=READY_LIMIT)
+                for address in self._admin_addresses:
+                    nursery.start_soon(self._check_ready, address)
+            await trio.sleep(READY_INTERVAL_S)
+
+    async def _check_ready(self, address: str) -> None:
+        answer = await call(
+            self._admin_addresses[address], "GET", "/ready", limit=READY_LIMIT_S
+        )
         if answer is not None and answer.status == 200:
-            self._ready.add(callers)
+            self._ready.add(address)
         else:
-            self._ready.discard(callers)
+            self._ready.discard(address)
+
+    def choose(self, *, exclude: str = "") -> str:
+        """Return a ready host's address for callers, if possible not `exclude`.
 
-    def choose(self, *, but: str = "") -> str:
-        """Return a host's address for callers, another one than `but` if it can."""
-        ready = sorted(self._ready) or sorted(self._admin)
-        return self._dice.choice([each for each in ready if each != but] or ready)
+        Without a ready host it chooses among all hosts.
+        """
+        ready = sorted(self._ready) or sorted(self._admin_addresses)
+        return self._rng.choice([each for each in ready if each != exclude] or ready)
 
 
 class TicketCaller:
-    """Books with tickets: a retry brings the same ticket to another host."""
+    """Books with tickets: a retry sends the same ticket to another host."""
 
     def __init__(self, *, balancer: Balancer, service: str) -> None:
         self._balancer = balancer
         self._path = f"/v1/services/{service}"
 
     async def book(self, booking: Booking) -> None:
-        """Book; a new ticket is taken only after "not run"."""
-        for turn in range(MAX_TICKETS):
+        """Book; request a new ticket only after a "not run" response."""
+        for number in range(MAX_TICKETS):
             ticket = await self._take_ticket()
             if ticket is None:
                 booking.ending = Ending.NO_ANSWER
                 continue
-            request_id = f"{booking.name}/{turn}"
+            request_id = f"{booking.name}/{number}"
             booking.request_ids.append(request_id)
-            booking.ending = await self._use(ticket, request_id, booking)
+            booking.ending = await self._send_with_ticket(ticket, request_id, booking)
             if booking.ending is not Ending.NOT_RUN:
                 return
 
     async def _take_ticket(self) -> str | None:
         host = ""
         for _ in range(MAX_TRIES):
-            host = self._balancer.choose(but=host)
+            host = self._balancer.choose(exclude=host)
             answer = await call(host, "POST", f"{self._path}/tickets")
             if answer is not None and answer.status == 201:
                 return str(answer.json["ticket"])
-            await trio.sleep(RETRY_PAUSE)
+            await trio.sleep(RETRY_PAUSE_S)
         return None
 
-    async def _use(self, ticket: str, request_id: str, booking: Booking) -> Ending:
+    async def _send_with_ticket(
+        self, ticket: str, request_id: str, booking: Booking
+    ) -> Ending:
         headers = {**JSON, "Ticket": ticket, "Deadline-Ms": str(DEADLINE_MS)}
         headers["Request-Id"] = request_id
         body = msgspec.json.encode({"query": request_id})
         ending = Ending.NO_ANSWER
         host = ""
         for _ in range(MAX_TRIES):
-            host = self._balancer.choose(but=host)
+            host = self._balancer.choose(exclude=host)
             answer = await call(
                 host, "POST", f"{self._path}/requests", headers=headers, body=body
             )
@@ -148,42 +163,46 @@
                 case Answer(status=200):
                     booking.told_answered.append(request_id)
                     if answer.json["result"]["query"] != request_id:
-                        booking.surprises.append(f"{request_id}: another's answer")
+                        booking.unexpected_answers.append(
+                            f"{request_id}: answer to another request"
+                        )
                     return Ending.ANSWERED
                 case Answer(status=503):
                     booking.told_not_run.append(request_id)
                     return Ending.NOT_RUN
                 case Answer(status=504):
                     ending = Ending.UNKNOWN
-                    booking.doubts.append(_describe(answer.json))
+                    booking.unknown_reasons.append(_describe_refusal(answer.json))
                 case Answer(status=status, body=text):
-                    booking.surprises.append(f"{request_id} {host}: {status} {text!r}")
-            await trio.sleep(RETRY_PAUSE)
+                    booking.unexpected_answers.append(
+                        f"{request_id} {host}: {status} {text!r}"
+                    )
+            await trio.sleep(RETRY_PAUSE_S)
         return ending
 
 
-def _describe(refusal: dict[str, str]) -> str:
+def _describe_refusal(refusal: dict[str, str]) -> str:
     peer = refusal["peer"]
     where = "a server" if peer.startswith("ledger") else "a host"
     return f"{refusal['step']}, {refusal['reason']}, at {where}"
 
 
 class PlainCaller:
-    """Books through naive forwarders: a retry is just another request."""
+    """Books through naive forwarders: a retry is a new, unrelated request."""
 
     def __init__(self, *, choose: Callable[[], str]) -> None:
         self._choose = choose
 
     async def book(self, booking: Booking) -> None:
-        """Book; after an error the request is sent again through any forwarder."""
+        """Book; after an error, send the request again through any forwarder."""
         booking.request_ids.append(booking.name)
         body = msgspec.json.encode({"query": booking.name})
         for _ in range(MAX_TRIES):
             answer = await call(
-                self._choose(), "POST", "/", headers=JSON, body=body, limit=CALL_LIMIT
+                self._choose(), "POST", "/", headers=JSON, body=body, limit=CALL_LIMIT_S
             )
             if answer is not None and answer.status == 200:
                 booking.told_answered.append(booking.name)
                 booking.ending = Ending.ANSWERED
                 return
-            await trio.sleep(RETRY_PAUSE)
+            await trio.sleep(RETRY_PAUSE_S)
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,9 +1,9 @@
-"""Runs a small deployment on this machine, breaks it, and shows what it answers.
+"""Runs a small deployment on this machine and shows its answers during failures.
 
-Everything is a process of its own: the platform's stand-in, the backend servers and
-three entry hosts, from examples/demo.jsonc with its ports replaced by free ones. The
-questions are asked with the `lavendergap` command, as a person would. Each step says
-what it expects; the demo ends with 1 at the first that is not so.
+The platform's stand-in, the backend servers and three entry hosts run as separate
+processes, configured by examples/demo.jsonc with its ports replaced by free ones.
+Queries are sent with the `lavendergap` command. Each step checks its result; the demo
+exits with 1 at the first failed check.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 EXAMPLE = Path("examples/demo.jsonc")
 ADDRESS = re.compile(r"127\.0\.0\.1:(\d+)")
-LIMIT_S = 60.0
+TIME_LIMIT_S = 60.0
 
 SERVICE = "scheduler"
 LEDGER = "sponsor-ledger"
@@ -57,12 +57,12 @@
 
 
 class StepError(Exception):
-    """A step did not end as told; the message says how it did."""
+    """A step's check failed; the message states the actual result."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Said:
-    """What a run of the command wrote, and the code that it ended with."""
+class CommandResult:
+    """Output and exit code of one run of the command."""
 
     stdout: str
     stderr: str
@@ -70,8 +70,11 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Stage:
-    """The running deployment. `ledger_control` counts what the ledger ran."""
+class Testbed:
+    """The running deployment.
+
+    `ledger_control` is the control address that reports the ledger's run counts.
+    """
 
     deployment: Deployment
     settings: Settings
@@ -87,31 +90,31 @@
 
 
 def main() -> None:
-    """Run the demo within its time limit; end with 1 unless all was as told."""
+    """Run the demo within its time limit; exit with 1 if a check fails."""
     try:
         trio.run(run_within_limit)
     except* (StepError, StartError, trio.TooSlowError) as errors:
         for error in errors.exceptions:
             print(f"\nThe demo FAILED: {str(error) or repr(error)}", file=sys.stderr)
         sys.exit(1)
-    print("\nEvery step was as told.")
+    print("\nEvery step succeeded.")
 
 
 async def run_within_limit() -> None:
-    """Run all steps; raise trio.TooSlowError when they take too long."""
-    with trio.fail_after(LIMIT_S):
+    """Run all steps; raise trio.TooSlowError after `TIME_LIMIT_S` seconds."""
+    with trio.fail_after(TIME_LIMIT_S):
         async with open_processes() as processes:
-            stage = await start(processes)
-            await show_all_shards(stage)
-            await lose_one_replica(stage)
-            await lose_whole_shard(stage)
-            await book_once(stage)
-            await stop_as_planned(stage)
+            testbed = await start(processes)
+            await show_all_shards(testbed)
+            await lose_one_replica(testbed)
+            await lose_whole_shard(testbed)
+            await book_once(testbed)
+            await stop_as_planned(testbed)
 
 
-async def start(processes: Processes) -> Stage:
+async def start(processes: Processes) -> Testbed:
     """Start the platform, the backend servers and the entry hosts."""
-    tell("Starting the platform's stand-in, 14 backend servers and 3 entry hosts")
+    print_step("Starting the platform's stand-in, 14 backend servers and 3 entry hosts")
     deployment, settings = write_example(processes.directory)
     ledger_control = find_free_address()
     others, first_replica, second_replica = await gather(
@@ -131,8 +134,8 @@
             for host in deployment.hosts
         )
     )
-    print(f"{others.name} serves all but the two replicas that will be killed.")
-    return Stage(
+    print(f"{others.name} runs all servers but the two that will be killed.")
+    return Testbed(
         deployment=deployment,
         settings=settings,
         entries=entries,
@@ -143,13 +146,13 @@
 
 
 def write_example(directory: Path) -> tuple[Deployment, Settings]:
-    """Write the example with each of its ports replaced by a free one."""
+    """Write the example settings with each port replaced by a free one."""
     text = EXAMPLE.read_text()
-    named = sorted(set(ADDRESS.findall(text)))
-    ports = dict(zip(named, find_free_ports(len(named)), strict=True))
-    place = directory / EXAMPLE.name
-    place.write_text(ADDRESS.sub(lambda m: f"{LOCALHOST}:{ports[m[1]]}", text))
-    settings = load_settings(place)
+    old_ports = sorted(set(ADDRESS.findall(text)))
+    ports = dict(zip(old_ports, find_free_ports(len(old_ports)), strict=True))
+    path = directory / EXAMPLE.name
+    path.write_text(ADDRESS.sub(lambda m: f"{LOCALHOST}:{ports[m[1]]}", text))
+    settings = load_settings(path)
     hosts = tuple(
         EntryHost(
             name=host.name,
@@ -160,85 +163,90 @@
         )
         for host in settings.hosts
     )
-    deployment = Deployment(
-        settings=place, platform=str(settings.platform), hosts=hosts
-    )
+    deployment = Deployment(settings=path, platform=str(settings.platform), hosts=hosts)
     return deployment, settings
 
 
-async def show_all_shards(stage: Stage) -> None:
-    """Query through each entry host; every answer covers every shard."""
-    tell("A query through each entry host: all six shards answer")
-    await search_everywhere(stage, missing=())
-    await show(stage, stage.host_names[0])
+async def show_all_shards(testbed: Testbed) -> None:
+    """Query through each entry host; every answer must cover every shard."""
+    print_step("A query through each entry host: all six shards answer")
+    await search_everywhere(testbed, missing=())
+    await print_query(testbed, testbed.host_names[0])
     memory = ", ".join(
-        f"{read_usage(entry.pid).rss_bytes / 1e6:.0f}" for entry in stage.entries
+        f"{read_usage(entry.pid).rss_bytes / 1e6:.0f}" for entry in testbed.entries
     )
     print(f"\nResident memory of the entry hosts now: {memory} MB")
 
 
-async def lose_one_replica(stage: Stage) -> None:
-    """Kill one replica of a shard; the other one answers for it."""
-    tell(f"Killing {FIRST_REPLICA}: {SECOND_REPLICA} has the same shard, none is lost")
-    await stage.first_replica.kill()
-    await search_everywhere(stage, missing=())
-    await show(stage, stage.host_names[1])
+async def lose_one_replica(testbed: Testbed) -> None:
+    """Kill one replica of a shard; the other one must answer."""
+    print_step(
+        f"Killing {FIRST_REPLICA}: {SECOND_REPLICA} has the same shard, none is missing"
+    )
+    await testbed.first_replica.kill()
+    await search_everywhere(testbed, missing=())
+    await print_query(testbed, testbed.host_names[1])
 
 
-async def lose_whole_shard(stage: Stage) -> None:
-    """Kill the other replica, too; each answer says which shard it lacks."""
-    tell(f"Killing {SECOND_REPLICA} as well: nobody has {BROKEN_SHARD} any more")
-    await stage.second_replica.kill()
-    await search_everywhere(stage, missing=(BROKEN_SHARD,))
-    await show(stage, stage.host_names[2])
+async def lose_whole_shard(testbed: Testbed) -> None:
+    """Kill the other replica, too; each answer must report the missing shard."""
+    print_step(
+        f"Killing {SECOND_REPLICA} as well: no replica of {BROKEN_SHARD} is left"
+    )
+    await testbed.second_replica.kill()
+    await search_everywhere(testbed, missing=(BROKEN_SHARD,))
+    await print_query(testbed, testbed.host_names[2])
 
 
-async def book_once(stage: Stage) -> None:
-    """Send a request that must run once, ask for it again, and count its runs."""
-    tell("A booking with a ticket, then asked about again through another host")
+async def book_once(testbed: Testbed) -> None:
+    """Send a booking, repeat it with the same ticket, and count its runs."""
+    print_step("A booking with a ticket, then repeated through another host")
     options: tuple[str, ...] = ("--body", BOOKING)
-    said = await ask(stage, LEDGER, "--host", stage.host_names[0], *options)
-    print(said.stderr + said.stdout, end="")
-    require(said.exit_code == 0, f"the booking ended with {said.exit_code}")
-    found = TICKET.search(said.stderr + said.stdout)
-    require(found is not None, "the command named no ticket")
+    result = await run_query(testbed, LEDGER, "--host", testbed.host_names[0], *options)
+    print(result.stderr + result.stdout, end="")
+    require(result.exit_code == 0, f"the booking exited with {result.exit_code}")
+    found = TICKET.search(result.stderr + result.stdout)
+    require(found is not None, "the command printed no ticket")
     assert found is not None
     options = (*options, "--ticket", found[1])
-    again = await ask(stage, LEDGER, "--host", stage.host_names[1], *options)
+    again = await run_query(testbed, LEDGER, "--host", testbed.host_names[1], *options)
     print(again.stdout, end="")
-    require(again.exit_code == 0, f"asked again, it ended with {again.exit_code}")
-    n_runs = await count_runs(stage.ledger_control)
+    require(again.exit_code == 0, f"the repeated booking exited with {again.exit_code}")
+    n_runs = await count_runs(testbed.ledger_control)
     print(f"The ledger's backend servers ran {n_runs} request.")
     require(n_runs == 1, f"the booking ran {n_runs} times")
 
 
-async def stop_as_planned(stage: Stage) -> None:
-    """End the entry hosts with SIGTERM; each finishes what it has and ends with 0."""
-    tell("Stopping the entry hosts as planned")
-    codes = await gather(*(entry.stop for entry in stage.entries))
+async def stop_as_planned(testbed: Testbed) -> None:
+    """Stop the entry hosts with SIGTERM; each must drain and exit with 0."""
+    print_step("Stopping the entry hosts as planned")
+    codes = await gather(*(entry.stop for entry in testbed.entries))
     require(set(codes) == {0}, f"exit codes {codes}")
-    print("All three ended with 0.")
+    print("All three exited with 0.")
 
 
-async def search_everywhere(stage: Stage, *, missing: Sequence[str]) -> None:
-    """Query through each entry host; every answer lacks just the `missing` shards."""
-    names = stage.host_names
-    answers = await gather(*(partial(search, stage, host) for host in names))
+async def search_everywhere(testbed: Testbed, *, missing: Sequence[str]) -> None:
+    """Query through each entry host; every answer must lack only `missing`."""
+    names = testbed.host_names
+    answers = await gather(*(partial(search, testbed, host) for host in names))
     for host, answer in zip(names, answers, strict=True):
         require_coverage(answer, host, missing=missing)
 
 
-async def search(stage: Stage, host: str) -> SearchBody:
-    """Query the scheduler through one host and return the answer."""
-    said = await ask(stage, SERVICE, "--host", host, "--body", QUERY, "--json")
+async def search(testbed: Testbed, host: str) -> SearchBody:
+    """Query the scheduler through one host and return the decoded answer."""
+    result = await run_query(
+        testbed, SERVICE, "--host", host, "--body", QUERY, "--json"
+    )
     require(
-        said.exit_code == 0, f"{host}: query ended with {said.exit_code}: {said.stderr}"
+        result.exit_code == 0,
+        f"{host}: query exited with {result.exit_code}: {result.stderr}",
     )
-    return msgspec.json.decode(said.stdout, type=SearchBody)
+    return msgspec.json.decode(result.stdout, type=SearchBody)
 
 
 def require_coverage(answer: SearchBody, host: str, *, missing: Sequence[str]) -> None:
-    """Require that the answer lacks just the `missing` shards, and says so."""
+    """Require that the answer lacks only the `missing` shards and reports them."""
     groups = {f"s{i:02}" for i in range(6)}
     answered = sorted(result.shard for result in answer.results)
     stated = [each.shard for each in answer.coverage.missing]
@@ -246,38 +254,41 @@
         f"{host}: {answer.coverage.answered} of {answer.coverage.asked} shards,"
         f" missing {', '.join(stated) or 'none'}"
     )
-    require(answered == sorted(groups - set(missing)), f"{host} answered {answered}")
-    require(stated == list(missing), f"{host} states as missing {stated}")
+    require(
+        answered == sorted(groups - set(missing)),
+        f"{host} returned the shards {answered}",
+    )
+    require(stated == list(missing), f"{host} reports as missing {stated}")
     require(answer.coverage.answered == len(answered), f"{host}: {answer.coverage}")
 
 
-async def show(stage: Stage, host: str) -> None:
-    """Print an answer as the command shows it to people."""
+async def print_query(testbed: Testbed, host: str) -> None:
+    """Print an answer in the command's human-readable form."""
     print(f"\n$ lavendergap query {SERVICE} --host {host} --body '{QUERY}'")
-    said = await ask(stage, SERVICE, "--host", host, "--body", QUERY)
-    print(said.stdout, end="")
+    result = await run_query(testbed, SERVICE, "--host", host, "--body", QUERY)
+    print(result.stdout, end="")
 
 
-async def ask(stage: Stage, service: str, *options: str) -> Said:
+async def run_query(testbed: Testbed, service: str, *options: str) -> CommandResult:
     """Run `lavendergap query`."""
     command = [sys.executable, "-m", "lavendergap", "query", service]
-    command += ["--settings", str(stage.deployment.settings), *options]
-    done = await trio.run_process(
+    command += ["--settings", str(testbed.deployment.settings), *options]
+    completed = await trio.run_process(
         command,
         check=False,
         capture_stdout=True,
         capture_stderr=True,
         stdin=subprocess.DEVNULL,
     )
-    return Said(
-        stdout=done.stdout.decode(),
-        stderr=done.stderr.decode(),
-        exit_code=done.returncode,
+    return CommandResult(
+        stdout=completed.stdout.decode(),
+        stderr=completed.stderr.decode(),
+        exit_code=completed.returncode,
     )
 
 
 async def count_runs(control: str) -> int:
-    """Ask a backend stand-in how many requests of the ledger it has run."""
+    """Return how many requests the ledger's servers of a backend stand-in ran."""
     ip, _, port = control.rpartition(":")
     client = await connect(ip, int(port))
     try:
@@ -292,7 +303,7 @@
 
 
 async def gather(*calls: Callable[[], Awaitable[T]]) -> tuple[T, ...]:
-    """Run calls side by side and return their results in order."""
+    """Run calls concurrently and return their results in order."""
     results: dict[int, T] = {}
 
     async def run(index: int, call: Callable[[], Awaitable[T]]) -> None:
@@ -304,8 +315,8 @@
     return tuple(results[index] for index in range(len(calls)))
 
 
-def tell(text: str) -> None:
-    """Announce a step."""
+def print_step(text: str) -> None:
+    """Print the heading of a step."""
     print(f"\n== {text}.", flush=True)
 
 
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,10 +1,10 @@
-"""Breaks one thing at a time under load, and counts what callers got.
+"""Injects one fault at a time under load and counts what callers received.
 
-Each scenario is a deployment of its own with processes for the platform, the backend
-servers of each data centre and four entry hosts. Queries arrive at a steady rate and
-every answer is checked: its own query, one snapshot, coverage that adds up. Wanted in
-every scenario: nothing wrong, and nothing lost or cut but on entry hosts that were
-themselves killed or frozen, which are counted apart.
+Each scenario is a separate deployment with processes for the platform, the backend
+servers of each data centre and four entry hosts. Queries arrive at a steady rate. Every
+answer is checked: it must be for its query, from one snapshot, and with a correct
+coverage. No scenario may have a wrong answer. Lost or cut answers are only allowed on
+entry hosts that were themselves killed or frozen, and are counted separately.
 """
 
 import math
@@ -45,7 +45,7 @@
 N_HOSTS = 4
 DEADLINE_MS = 500
 SERVICE_MS = 5
-BREAK_AFTER_S = 2.0
+FAULT_DELAY_S = 2.0
 INDEX_KEY = make_index_key(SERVICE)
 SHAPE = DeploymentShape(
     n_hosts=N_HOSTS,
@@ -60,8 +60,12 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Stage:
-    """The running deployment of one scenario; entries and backends by name."""
+class Testbed:
+    """The running deployment of one scenario.
+
+    `entries` is by host name; `backends` and `controls` are by the letter of a data
+    centre.
+    """
 
     processes: Processes
     deployment: Deployment
@@ -72,66 +76,66 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Scenario:
-    """What is broken, and for how long queries arrive around it.
+    """A fault to inject, and the duration of the load around it.
 
-    `breaks_hosts` says that entry hosts die or freeze without warning, so that the
-    requests on their own connections get no answer whatever the others do.
+    `disrupts_hosts` marks faults that kill or freeze entry hosts, where requests on
+    connections to those hosts cannot be answered.
     """
 
     name: str
-    break_it: Callable[[Stage], Awaitable[None]]
+    inject_fault: Callable[[Testbed], Awaitable[None]]
     duration_s: float = 7.0
-    breaks_hosts: bool = False
+    disrupts_hosts: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Result:
-    """What callers got in one scenario."""
+    """What callers received in one scenario."""
 
     scenario: Scenario
     summary: Summary
 
 
-async def lose_replica(stage: Stage) -> None:
-    """End one backend server of one group."""
-    await set_faults(stage, {f"{SERVICE}-03-a": {"dead": True}})
+async def lose_replica(testbed: Testbed) -> None:
+    """Crash one backend server of one group."""
+    await set_faults(testbed, {f"{SERVICE}-03-a": {"dead": True}})
 
 
-async def lose_data_centre(stage: Stage) -> None:
+async def lose_data_centre(testbed: Testbed) -> None:
     """Kill the entry hosts and the backend servers of one data centre at once."""
-    centre = stage.deployment.hosts[-1].data_centre
-    for host in stage.deployment.hosts:
+    centre = testbed.deployment.hosts[-1].data_centre
+    for host in testbed.deployment.hosts:
         if host.data_centre == centre:
-            await stage.entries[host.name].kill()
-    await stage.backends["b"].kill()
+            await testbed.entries[host.name].kill()
+    await testbed.backends["b"].kill()
 
 
-async def silence_connections(stage: Stage) -> None:
-    """Have all open connections to backend servers go silent; new ones work."""
-    await set_faults(stage, {"*": {"silence": True}})
+async def silence_connections(testbed: Testbed) -> None:
+    """Silence all open connections to backend servers; new connections work."""
+    await set_faults(testbed, {"*": {"silence": True}})
 
 
-async def pause_host(stage: Stage) -> None:
-    """Stop one entry host as a frozen machine would, and let it go on later."""
-    paused = stage.entries[stage.deployment.hosts[1].name]
+async def pause_host(testbed: Testbed) -> None:
+    """Freeze one entry host with SIGSTOP for a while, then resume it."""
+    paused = testbed.entries[testbed.deployment.hosts[1].name]
     paused.pause()
     await trio.sleep(2.5)
     paused.resume()
 
 
-async def switch_version(stage: Stage) -> None:
-    """Have all backend servers go from version 1 to 2 within the same second."""
+async def switch_version(testbed: Testbed) -> None:
+    """Switch all backend servers from index version 1 to 2 at about the same time."""
     faults = {
         "index_versions": [1, 2],
         "next_index_versions": [2],
         "switch_after_ms": 1_500,
     }
-    await set_faults(stage, {"*": faults})
-    await publish(stage, N_GROUPS)
+    await set_faults(testbed, {"*": faults})
+    await publish(testbed, N_GROUPS)
 
 
-async def repartition(stage: Stage) -> None:
-    """Publish version 2 with fewer shards while queries of version 1 are running."""
+async def repartition(testbed: Testbed) -> None:
+    """Publish version 2 with fewer shards while queries on version 1 run."""
     old = {"1": [f"s{place:02}" for place in range(N_GROUPS)]}
     for place in range(N_GROUPS):
         shards = {**old, "2": [f"s{place:02}"] if place < N_GROUPS - 2 else []}
@@ -141,13 +145,13 @@
             "next_index_versions": [2],
             "switch_after_ms": 2_000,
         }
-        await set_faults(stage, {f"{SERVICE}-{place:02}-*": faults})
-    await publish(stage, N_GROUPS - 2)
+        await set_faults(testbed, {f"{SERVICE}-{place:02}-*": faults})
+    await publish(testbed, N_GROUPS - 2)
 
 
-async def publish(stage: Stage, n_shards: int) -> None:
-    """Write version 2 of the index beside version 1, as the indexer would."""
-    ip, port = stage.deployment.platform.split(":")
+async def publish(testbed: Testbed, n_shards: int) -> None:
+    """Publish version 2 of the index beside version 1, as the indexer would."""
+    ip, port = testbed.deployment.platform.split(":")
     address = Address(ip=ip, port=int(port))
     async with PlatformClient(address=address) as client:
         found = await client.get(INDEX_KEY)
@@ -169,52 +173,58 @@
     return Snapshot(service=SERVICE, version=version, shards=shards)
 
 
-async def roll(stage: Stage) -> None:
-    """Stop every entry host as planned, one after the other, and start it anew."""
-    for host in stage.deployment.hosts:
-        code = await stage.entries[host.name].stop(limit_s=30.0)
-        assert code == 0, f"{host.name} ended with {code}"
-        stage.entries[host.name] = await stage.processes.start_entry(
-            stage.deployment, host=host.name
+async def restart_hosts_in_turn(testbed: Testbed) -> None:
+    """Stop and restart every entry host with SIGTERM, one after the other."""
+    for host in testbed.deployment.hosts:
+        code = await testbed.entries[host.name].stop(limit_s=30.0)
+        assert code == 0, f"{host.name} exited with {code}"
+        testbed.entries[host.name] = await testbed.processes.start_entry(
+            testbed.deployment, host=host.name
         )
 
 
-async def lose_platform(stage: Stage) -> None:
-    """Take the platform's object API away altogether."""
-    [platform] = [r for r in stage.processes.running if "platform" in r.name]
+async def lose_platform(testbed: Testbed) -> None:
+    """Kill the platform process."""
+    [platform] = [r for r in testbed.processes.running if "platform" in r.name]
     await platform.kill()
 
 
 SCENARIOS = (
-    Scenario(name="replica lost", break_it=lose_replica),
-    Scenario(name="data centre lost", break_it=lose_data_centre, breaks_hosts=True),
-    Scenario(name="connections silent", break_it=silence_connections),
-    Scenario(name="entry host paused", break_it=pause_host, breaks_hosts=True),
-    Scenario(name="platform down", break_it=lose_platform),
-    Scenario(name="index version switched", break_it=switch_version),
-    Scenario(name="repartitioned", break_it=repartition),
-    Scenario(name="rolling stop", break_it=roll, duration_s=32.0),
+    Scenario(name="replica lost", inject_fault=lose_replica),
+    Scenario(
+        name="data centre lost", inject_fault=lose_data_centre, disrupts_hosts=True
+    ),
+    Scenario(name="connections silent", inject_fault=silence_connections),
+    Scenario(name="entry host paused", inject_fault=pause_host, disrupts_hosts=True),
+    Scenario(name="platform down", inject_fault=lose_platform),
+    Scenario(name="index version switched", inject_fault=switch_version),
+    Scenario(name="repartitioned", inject_fault=repartition),
+    Scenario(name="rolling stop", inject_fault=restart_hosts_in_turn, duration_s=32.0),
 )
 
 
-async def set_faults(stage: Stage, faults: dict[str, object]) -> None:
-    """Set faults at the control ports; a name goes only to the process that has it."""
-    for letter, control in stage.controls.items():
-        here = {name: f for name, f in faults.items() if name.endswith(("*", letter))}
-        if not here:
+async def set_faults(testbed: Testbed, faults: dict[str, object]) -> None:
+    """Set faults at the control ports, each only where its servers run."""
+    for letter, control in testbed.controls.items():
+        matching = {
+            name: f for name, f in faults.items() if name.endswith(("*", letter))
+        }
+        if not matching:
             continue
         ip, port = control.split(":")
         client = await connect(ip, int(port))
-        answer = await client.request("POST", "/faults", body=msgspec.json.encode(here))
+        answer = await client.request(
+            "POST", "/faults", body=msgspec.json.encode(matching)
+        )
         await client.aclose()
         assert answer.status == 200, answer.body
 
 
-async def open_stage(processes: Processes) -> Stage:
+async def open_testbed(processes: Processes) -> Testbed:
     """Start the platform, the backend servers of both data centres and the hosts."""
     deployment = write_deployment(shape=SHAPE, directory=processes.directory)
     controls = {letter: find_free_address() for letter in "ab"}
-    stage = Stage(
+    testbed = Testbed(
         processes=processes,
         deployment=deployment,
         entries={},
@@ -223,12 +233,12 @@
     )
 
     async def start_backend(letter: str) -> None:
-        stage.backends[letter] = await processes.start_backend(
+        testbed.backends[letter] = await processes.start_backend(
             deployment, only=(f"*-{letter}",), control=controls[letter]
         )
 
     async def start_entry(host: EntryHost) -> None:
-        stage.entries[host.name] = await processes.start_entry(
+        testbed.entries[host.name] = await processes.start_entry(
             deployment, host=host.name
         )
 
@@ -238,12 +248,12 @@
             nursery.start_soon(start_backend, letter)
         for host in deployment.hosts:
             nursery.start_soon(start_entry, host)
-    await set_faults(stage, {"*": {"service_ms": SERVICE_MS}})
-    return stage
+    await set_faults(testbed, {"*": {"service_ms": SERVICE_MS}})
+    return testbed
 
 
 def list_entries(deployment: Deployment) -> tuple[EntryPorts, ...]:
-    """Return the hosts' ports as the balancer knows them."""
+    """Return the hosts' ports in the balancer's form."""
     settings = load_settings(deployment.settings)
     return tuple(
         EntryPorts(callers=host.callers, admin=host.admin) for host in settings.hosts
@@ -251,11 +261,11 @@
 
 
 async def run_scenario(scenario: Scenario, *, rate: float) -> Result:
-    """Run one scenario and return what callers got."""
+    """Run one scenario and return its result."""
     async with open_processes() as processes:
-        stage = await open_stage(processes)
+        testbed = await open_testbed(processes)
         plan = Plan(
-            entries=list_entries(stage.deployment),
+            entries=list_entries(testbed.deployment),
             service=SERVICE,
             arrivals=OpenLoop(rate=rate),
             work=Queries(),
@@ -264,15 +274,15 @@
             deadline_ms=DEADLINE_MS,
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(break_later, stage, scenario)
+            nursery.start_soon(inject_later, testbed, scenario)
             summary = await run_load(plan)
     return Result(scenario=scenario, summary=summary)
 
 
-async def break_later(stage: Stage, scenario: Scenario) -> None:
-    """Break it once the load has run for a while."""
-    await trio.sleep(BREAK_AFTER_S)
-    await scenario.break_it(stage)
+async def inject_later(testbed: Testbed, scenario: Scenario) -> None:
+    """Inject the scenario's fault after `FAULT_DELAY_S` seconds of load."""
+    await trio.sleep(FAULT_DELAY_S)
+    await scenario.inject_fault(testbed)
 
 
 def build_table(results: list[Result]) -> Table:
@@ -304,21 +314,21 @@
 
 @click.command()
 @click.option("--rate", default=40.0, show_default=True, help="Queries a second.")
-@click.option("--only", default="", help="Run the scenarios whose names hold this.")
+@click.option("--only", default="", help="Run only scenarios whose names contain this.")
 def main(rate: float, only: str) -> None:
-    """Break one thing at a time under load; print what callers got."""
+    """Inject one fault at a time under load; print what callers received."""
     results: list[Result] = []
     for scenario in SCENARIOS:
         if only in scenario.name:
             results.append(trio.run(partial(run_scenario, scenario, rate=rate)))
             print(f"{scenario.name}: {results[-1].summary.reasons}", flush=True)
-    whole = [r.summary for r in results if not r.scenario.breaks_hosts]
-    broken = [r.summary for r in results if r.scenario.breaks_hosts]
+    undisrupted = [r.summary for r in results if not r.scenario.disrupts_hosts]
+    disrupted = [r.summary for r in results if r.scenario.disrupts_hosts]
     figures = {
         "wrong": sum(r.summary.wrong for r in results),
-        "lost": sum(s.lost for s in whole),
-        "cut": sum(s.cut for s in whole),
-        "unanswered_by_broken_hosts": sum(s.cut + s.lost for s in broken),
+        "lost": sum(s.lost for s in undisrupted),
+        "cut": sum(s.cut for s in undisrupted),
+        "unanswered_by_broken_hosts": sum(s.cut + s.lost for s in disrupted),
     }
     conditions = {"hosts": N_HOSTS, "groups": N_GROUPS, "queries_per_s": rate}
     report(
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of `Membership` objects over a lossy fake network in virtual time.
+"""Simulates a fleet of `Membership` objects on a lossy network in virtual time.
 
-Nothing sleeps: events run in the order of their times, and the same seed gives the
-same run.
+Events are processed in the order of their times without sleeping; the same seed gives
+the same run.
 """
 
 from collections import Counter, deque
@@ -16,13 +16,13 @@
 from lavendergap.state.member import Member
 from lavendergap.state.settings import Address, Control
 
-SOCKET_QUEUE = 64
-"""Datagrams that wait for a paused process; the kernel drops what comes after."""
+SOCKET_QUEUE_DATAGRAMS = 64
+"""Size of a paused process's receive queue, in datagrams."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Datagram:
-    """A message on its way."""
+    """A message in transit; `receiver` is empty when no process has the address."""
 
     sender: str
     receiver: str
@@ -31,21 +31,25 @@
 
 @dataclass(kw_only=True, slots=True)
 class Node:
-    """One process: its membership and what happens to it."""
+    """One process: its membership, its receive queue and its past events."""
 
     name: str
     address: Address
     membership: Membership
     paused: bool = False
-    queue: deque[Datagram] = field(default_factory=lambda: deque(maxlen=SOCKET_QUEUE))
+    queue: deque[Datagram] = field(
+        default_factory=lambda: deque(maxlen=SOCKET_QUEUE_DATAGRAMS)
+    )
     events: list[tuple[float, Event]] = field(default_factory=list)
 
 
 class Fleet:
     """Runs memberships against each other.
 
-    `cut` holds pairs (sender, receiver) of names whose datagrams are lost, so that
-    a cut may go one way. `watch` is called with each datagram that is sent.
+    `loss` is the share of datagrams lost at random. `cut` holds pairs of names
+    (sender, receiver) whose datagrams are all dropped, so that a cut may affect one
+    direction only. `watch` is called with each datagram that is sent. Times are in
+    seconds of virtual time.
     """
 
     def __init__(
@@ -66,10 +70,10 @@
         self.control = control or Control()
         self._build = build
         self.watch = watch
-        self._at: dict[Address, str] = {}
+        self._names_by_address: dict[Address, str] = {}
         self._order = count()
         self._heap: list[tuple[float, int, Datagram | Node]] = []
-        self._wakes: dict[str, float] = {}
+        self._wake_times: dict[str, float] = {}
 
     def start(
         self,
@@ -79,7 +83,7 @@
         hints: Iterable[str] = (),
         incarnation: int | None = None,
     ) -> Membership:
-        """Start a process, in place of one of the same name that may run."""
+        """Start a process, replacing a running one of the same name."""
         number = int(name.rsplit("-", 1)[1])
         address = Address(ip=f"10.0.{number // 250}.{number % 250}", port=8101)
         own = Member(
@@ -94,22 +98,22 @@
             own=own, control=self.control, random=Random(self.random.random())
         )
         self.nodes[name] = Node(name=name, address=address, membership=membership)
-        self._at[address] = name
+        self._names_by_address[address] = name
         membership.join(self.nodes[hint].address for hint in hints if hint != name)
         self._advance(self.nodes[name])
         return membership
 
     def stop(self, name: str) -> None:
-        """Kill a process: it says nothing any more."""
+        """Kill a process; it sends nothing more."""
         node = self.nodes.pop(name)
-        del self._at[node.address]
+        del self._names_by_address[node.address]
 
     def pause(self, name: str) -> None:
-        """Stop a process from running; datagrams wait for it in a short queue."""
+        """Freeze a process; the last datagrams to it are queued."""
         self.nodes[name].paused = True
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on with what waits for it."""
+        """Resume a paused process, which then receives the queued datagrams."""
         node = self.nodes[name]
         node.paused = False
         self._advance(node)
@@ -117,38 +121,38 @@
             self._receive(node, node.queue.popleft())
 
     def cut_between(self, ones: Iterable[str], others: Iterable[str]) -> None:
-        """Lose all datagrams between two sets of hosts, both ways."""
+        """Drop all datagrams between two sets of hosts, in both directions."""
         listed = list(others)
         for one in ones:
             self.cut.update((one, other) for other in listed)
             self.cut.update((other, one) for other in listed)
 
     def send(self, name: str, sends: Iterable[Send]) -> None:
-        """Put messages of one process on the network."""
+        """Send messages of one process over the network."""
         for send in sends:
             self.n_sent[type(send.message).__name__] += 1
-            receiver = self._at.get(send.to, "")
+            receiver = self._names_by_address.get(send.to, "")
             datagram = Datagram(sender=name, receiver=receiver, message=send.message)
             if self.watch:
                 self.watch(datagram)
-            lost = self.loss and self.random.random() < self.loss
-            if receiver and not lost and (name, receiver) not in self.cut:
+            is_lost = self.loss and self.random.random() < self.loss
+            if receiver and not is_lost and (name, receiver) not in self.cut:
                 self._push(self.now + self.random.uniform(0.0005, 0.0015), datagram)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Let time pass until a condition holds, for so long at most.
+        """Advance virtual time until a condition holds, by `seconds` at most.
 
-        The condition is looked at every 50 ms of virtual time.
+        The condition is checked every 50 ms of virtual time. Returns whether it holds.
         """
         end = self.now + seconds
-        look_at = self.now
+        next_check_at = self.now
         while self._heap and self._heap[0][0] <= end:
-            if self._heap[0][0] >= look_at:
-                look_at = self._heap[0][0] + 0.05
+            if self._heap[0][0] >= next_check_at:
+                next_check_at = self._heap[0][0] + 0.05
                 if condition():
                     return True
             self.now, _, item = heappop(self._heap)
@@ -157,7 +161,7 @@
         return condition()
 
     def views(self) -> dict[str, frozenset[str]]:
-        """Return whom each running process believes to be live."""
+        """Return the hosts that each running process considers live."""
         return {
             name: node.membership.live()
             for name, node in self.nodes.items()
@@ -165,7 +169,10 @@
         }
 
     def agree(self) -> bool:
-        """Whether all running processes hold just the running ones to be live."""
+        """Return whether every running process considers exactly these hosts live:
+
+        the hosts whose processes run and may own groups.
+        """
         live = frozenset(
             name for name, node in self.nodes.items() if node.membership.own.may_own
         )
@@ -173,7 +180,7 @@
 
     def _handle(self, item: "Datagram | Node") -> None:
         if isinstance(item, Node):
-            if self._wakes.get(item.name) == self.now and self._runs(item):
+            if self._wake_times.get(item.name) == self.now and self._is_running(item):
                 self._advance(item)
             return
         node = self.nodes.get(item.receiver)
@@ -184,25 +191,25 @@
         else:
             self._receive(node, item)
 
-    def _runs(self, node: Node) -> bool:
+    def _is_running(self, node: Node) -> bool:
         return self.nodes.get(node.name) is node and not node.paused
 
     def _receive(self, node: Node, datagram: Datagram) -> None:
         sender = datagram.message.source.peers
         sends = node.membership.receive(datagram.message, sender=sender, now=self.now)
-        self._finish(node, sends)
+        self._process_outputs(node, sends)
 
     def _advance(self, node: Node) -> None:
-        self._finish(node, node.membership.advance(now=self.now))
+        self._process_outputs(node, node.membership.advance(now=self.now))
 
-    def _finish(self, node: Node, sends: list[Send]) -> None:
+    def _process_outputs(self, node: Node, sends: list[Send]) -> None:
         self.send(node.name, sends)
         node.events += [(self.now, e) for e in node.membership.take_events()]
         if node.membership.superseded:
             return
         wake = max(node.membership.next_wake(), self.now + 0.001)
-        if self._wakes.get(node.name, -1.0) != wake:
-            self._wakes[node.name] = wake
+        if self._wake_times.get(node.name, -1.0) != wake:
+            self._wake_times[node.name] = wake
             self._push(wake, node)
 
     def _push(self, at: float, item: "Datagram | Node") -> None:
@@ -210,18 +217,18 @@
 
 
 def name_hosts(n_hosts: int) -> list[str]:
-    """Return the names of so many hosts: ptl-a-1 and on."""
+    """Return the names of `n_hosts` hosts: ptl-a-1, ptl-a-2 and so on."""
     return [f"ptl-a-{number}" for number in range(1, n_hosts + 1)]
 
 
 def build_fleet(
-    names: Iterable[str], *, seed: int, joined_within: float = 120.0, **options: object
+    names: Iterable[str], *, seed: int, join_limit_s: float = 120.0, **options: object
 ) -> Fleet:
-    """Start a fleet in which everyone was told of the first three, and let it join."""
+    """Start a fleet with its first three hosts as seeds and run until all joined."""
     fleet = Fleet(seed=seed, **options)  # type: ignore[arg-type]
     listed = list(names)
     fleet.now = 1_000.0
     for name in listed:
         fleet.start(name, hints=[n for n in listed[:3] if n in fleet.nodes])
-    fleet.run_until(fleet.agree, joined_within)
+    fleet.run_until(fleet.agree, join_limit_s)
     return fleet
--- a/lab/forwarder.py
+++ b/lab/forwarder.py
@@ -1,7 +1,6 @@
-"""A naive forwarder of bookings, as a baseline: on an error it tries again.
+"""A naive forwarder of bookings that retries on errors, as a baseline.
 
-It is what a plain HTTP proxy with retries does with a request that must not run
-twice.
+It behaves as a plain HTTP proxy with retries, which may run a request twice.
 """
 
 import random
@@ -16,35 +15,35 @@
 from standins.http import Connection, HttpServer, Reply, Request, make_error
 from standins.process import run_process
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class Forwarder:
-    """Sends each request to a backend server, and to another one after an error."""
+    """Forwards each request to a backend server, after an error to another one."""
 
     def __init__(
-        self, *, servers: tuple[Server, ...], name: str, try_limit: float
+        self, *, servers: tuple[Server, ...], name: str, attempt_limit_s: float
     ) -> None:
         self._servers = servers
         self._name = name
-        self._try_limit = try_limit
+        self._attempt_limit_s = attempt_limit_s
         self._random = random.Random(name)
         self._n_attempts = 0
 
     async def handle(self, request: Request, connection: Connection) -> Reply:
-        """Forward one request; 502 when no server has answered."""
+        """Forward one request; reply with 502 when no server answered."""
         first = self._random.randrange(len(self._servers))
-        for turn in range(MAX_TRIES):
-            server = self._servers[(first + turn) % len(self._servers)]
-            answer = await self._try(server.address, request.body)
+        for offset in range(MAX_ATTEMPTS):
+            server = self._servers[(first + offset) % len(self._servers)]
+            answer = await self._attempt(server.address, request.body)
             if answer is not None and answer.status == 200:
                 return Reply(status=200, body=answer.body)
-        return make_error(502, "no server has answered")
+        return make_error(502, "no backend server answered")
 
-    async def _try(self, address: Address, body: bytes) -> Answer | None:
+    async def _attempt(self, address: Address, body: bytes) -> Answer | None:
         self._n_attempts += 1
         headers = {"Attempt": f"{self._name}-{self._n_attempts}"}
-        with trio.move_on_after(self._try_limit):
+        with trio.move_on_after(self._attempt_limit_s):
             try:
                 client = await connect(address.ip, address.port)
             except OSError:
@@ -72,7 +71,9 @@
     servers = tuple(server for group in found.groups for server in group.servers)
 
     async def start(nursery: trio.Nursery) -> None:
-        forwarder = Forwarder(servers=servers, name=listen, try_limit=try_ms / 1_000)
+        forwarder = Forwarder(
+            servers=servers, name=listen, attempt_limit_s=try_ms / 1_000
+        )
         port = HttpServer(ip=address.ip, port=address.port, handle=forwarder.handle)
         await nursery.start(port.run)
 
--- a/lab/gatewaydemo.py
+++ b/lab/gatewaydemo.py
@@ -1,7 +1,7 @@
-"""Shows a gateway's way of a request from callers to servers; part of `make demo`.
+"""Shows how gateways route requests from callers to servers; part of `make demo`.
 
-Three gateway processes stand before a stand-in of the users' store and stand-ins of
-their servers, which run in this process.
+Three gateway processes use stand-ins of the store and of the backend servers, which
+run in this process.
 """
 
 import tempfile
@@ -29,7 +29,7 @@
 
 
 async def show() -> None:
-    """Start everything, ask, break something, and ask again."""
+    """Start everything, send requests, make a shard fail, and change the routes."""
     with tempfile.TemporaryDirectory() as directory:
         async with open_platform(Path(directory)) as platform:
             await _start(platform)
@@ -40,7 +40,9 @@
 
 
 async def _start(platform: Platform) -> None:
-    console.rule("three gateway hosts, a store, servers of six shards in two places")
+    console.rule(
+        "three gateway hosts, a store, servers of six shards in two data centres"
+    )
     for shard in SHARDS:
         for zone in ZONES[:2]:
             await platform.add_leaf(shard, zone)
@@ -56,7 +58,7 @@
 
 
 async def _lose_a_shard(platform: Platform) -> None:
-    console.rule("all servers of one shard fail: the answer says so")
+    console.rule("all servers of one shard fail: the answer reports it")
     for leaf in platform.leafs:
         if leaf.service == SHARDS[0]:
             leaf.faults.fails = True
--- a/lab/gateways.py
+++ b/lab/gateways.py
@@ -1,4 +1,4 @@
-"""Gateway hosts as real processes, before a store and servers of the caller's own."""
+"""Starts gateways as real processes, with a store and servers in this process."""
 
 import json
 import os
@@ -21,35 +21,38 @@
 
 ROOT = Path(__file__).parents[1]
 HOST = "app.example"
-READY_LIMIT = 20.0
+READY_LIMIT_S = 20.0
 DRAIN_MS = 3_000
-GRACE_S = 6
+STOP_WITHIN_S = 6
 EVACUATE_MS = 3_000
 REGIONS = dict.fromkeys(("ptl-a", "ptl-b", "sea-a", "sea-b"), "cascadia")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """What a caller got; names of headers in lower case, in their order."""
+    """The answer to a caller; header names are in lower case, in received order."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
     def get(self, name: str) -> str:
-        """Return the values of a header, joined by commas."""
+        """Return the values of a header joined by commas, "" without one."""
         return ", ".join(value for key, value in self.headers if key == name)
 
     @property
     def proofs(self) -> list[str]:
-        """The digests of the parts that a joined answer names."""
+        """The stamps of the parts that a joined answer lists."""
         text = self.get("lavendergap-part-stamps")
         return [proof.strip() for proof in text.split(",") if proof.strip()]
 
 
 @dataclass(kw_only=True)
 class Gateway:
-    """One gateway process; `output` is the path of its log."""
+    """One gateway process.
+
+    `ports` are those for callers, admin and peers.
+    """
 
     name: str
     zone: str
@@ -69,7 +72,7 @@
         return self.directory / f"{self.name}.log"
 
     def write_settings(self, **changes: Any) -> None:
-        """Write the settings file, as the platform fills it in."""
+        """Write the settings file in the platform's format; `changes` override keys."""
         callers, admin, peers = self.ports
         settings = {
             "name": self.name,
@@ -83,7 +86,7 @@
             "regions": self.regions,
             "bounds": {
                 "drain_ms": DRAIN_MS,
-                "stop_within_ms": GRACE_S * 1_000,
+                "stop_within_ms": STOP_WITHIN_S * 1_000,
                 "extra_call_share": 0.2,
                 "extra_call_slack": 54,
                 "extra_call_window_s": 10,
@@ -93,7 +96,7 @@
         self.settings_path.write_text(json.dumps(settings | changes))
 
     def start(self) -> None:
-        """Start the process; it has to be stopped by whoever holds this."""
+        """Start the process; the caller has to end it with `kill`."""
         environment = dict(os.environ)
         environment["LAVENDERGAP_NODE_FILE"] = str(self.settings_path)
         with self.output_path.open("ab") as output:
@@ -111,13 +114,13 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, if it runs."""
+        """Kill the process, if it was started, and wait for its end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     def read_events(self, event: str) -> list[dict[str, Any]]:
-        """Return the log's lines of one event."""
+        """Return the log lines of one event, decoded."""
         lines = self.output_path.read_text().splitlines()
         decisions = [json.loads(line) for line in lines if line.startswith("{")]
         return [each for each in decisions if each.get("event") == event]
@@ -137,14 +140,14 @@
     n_asked: int = 0
 
     async def add_leaf(self, service: str, zone: str, **options: Any) -> Leaf:
-        """Start a server and register it."""
+        """Start a server and register it in the store."""
         leaf = Leaf(service=service, zone=zone, **options)
         await self.nursery.start(leaf.run, self.store)
         self.leafs.append(leaf)
         return leaf
 
     def add_gateway(self, zone: str) -> Gateway:
-        """Start a gateway process; the first ones are the seeds of the later."""
+        """Start a gateway process, without waiting until it is ready."""
         ports = find_free_ports(3)
         gateway = Gateway(
             name=f"{zone}-{len(self.gateways) + 1}",
@@ -168,30 +171,35 @@
         return gateways
 
     def count_arrivals(self, zone: str) -> int:
-        """Count the requests that came to the servers of a data centre."""
+        """Count the requests received by the servers of a data centre."""
         return sum(leaf.arrivals.total() for leaf in self.leafs if leaf.zone == zone)
 
     def write_routes(self, version: int, routes: list[dict[str, Any]]) -> None:
-        """Write a manifest."""
+        """Write a route manifest to the store."""
         manifest = {"version": version, "routes": routes, "services": [], "limits": {}}
         self.store.put("config", "main", manifest)
 
     def evacuate(self, zone: str) -> None:
-        """Ask for nothing more to be sent to the servers of a data centre."""
+        """Write an evacuation of a data centre: gateways stop calling its servers."""
         self.store.put("evacuations", zone, {})
 
     def end_evacuation(self, zone: str) -> None:
-        """Take that back."""
+        """Remove the evacuation of a data centre."""
         self.store.remove("evacuations", zone)
 
-    async def wait_ready(self, gateway: Gateway, *, limit: float = READY_LIMIT) -> None:
-        """Return when the gateway says that it is ready."""
+    async def wait_ready(
+        self, gateway: Gateway, *, limit: float = READY_LIMIT_S
+    ) -> None:
+        """Return when the gateway is ready.
+
+        Raises trio.TooSlowError after `limit` seconds.
+        """
         with trio.fail_after(limit):
             while not await self.is_ready(gateway):
                 await trio.sleep(0.05)
 
     async def is_ready(self, gateway: Gateway) -> bool:
-        """Ask a gateway whether it is ready, as the balancer does."""
+        """Return whether a gateway's /ready answers 200, as a balancer checks."""
         try:
             answer = await ask(gateway.ports[1], "/ready")
         except OSError:
@@ -207,7 +215,7 @@
         deadline_ms: int = 1_000,
         body: bytes = b"",
     ) -> Answer:
-        """Make one request of a caller on a connection of its own."""
+        """Send one caller's request over a new connection and return its answer."""
         self.n_asked += 1
         headers = [
             ("Host", HOST),
@@ -224,7 +232,7 @@
     headers: list[tuple[str, str]] | None = None,
     body: bytes = b"",
 ) -> Answer:
-    """Make one HTTP call and return its whole answer."""
+    """Make one HTTP call over a new connection and return its complete answer."""
     stream = await trio.open_tcp_stream("127.0.0.1", port)
     async with stream:
         http = h11.Connection(h11.CLIENT)
@@ -242,7 +250,10 @@
 
 
 async def read_answer(stream: trio.SocketStream, http: h11.Connection) -> Answer:
-    """Read one whole answer; an answer that ends early raises."""
+    """Read one complete answer.
+
+    Raises ConnectionResetError when the connection closes without one.
+    """
     head: h11.Response | None = None
     parts: list[bytes] = []
     while True:
@@ -263,17 +274,17 @@
                 body=b"".join(parts),
             )
         else:
-            raise ConnectionResetError("the connection closed without an answer")
+            raise ConnectionResetError("connection closed before a complete answer")
 
 
 def make_search_route(path: str, shards: list[str], **changes: Any) -> dict[str, Any]:
-    """Return a route over all shards, as a manifest holds it."""
+    """Return a manifest's route that joins answers of `shards`, with `changes`."""
     joined = {"gather": shards, "top_k": 5, "min_coverage": 0.5}
     return _make_route(path) | joined | changes
 
 
 def make_one_route(path: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return a route to one service, as a manifest holds it."""
+    """Return a manifest's route to one service, with `changes`."""
     return _make_route(path) | {"service": service} | changes
 
 
@@ -294,7 +305,7 @@
 async def open_platform(
     directory: Path, *, regions: dict[str, str] = REGIONS
 ) -> AsyncIterator[Platform]:
-    """Yield a platform without servers; ends every process that was started."""
+    """Yield a platform without servers; kill its gateways when the block exits."""
     async with trio.open_nursery() as nursery:
         store = ObjectStore()
         port = await nursery.start(store.make_server(ip="127.0.0.1", port=0).run)
--- a/lab/ledger.py
+++ b/lab/ledger.py
@@ -1,4 +1,4 @@
-"""The backend stand-in, counting runs by what the request books, not by attempt."""
+"""A backend stand-in that counts runs by booking instead of by attempt."""
 
 from pathlib import Path
 from typing import Any
@@ -16,10 +16,10 @@
 
 
 class LedgerServer(BackendServer):
-    """Counts each run of /run under the `query` of its body, the booking's own id.
+    """Counts each run of /run under the `query` of its body, the booking's id.
 
-    The same booking may come in several attempts, by several hosts and with several
-    tickets. Only its own id tells whether it ran twice.
+    The same booking may arrive in several attempts, from several hosts and with several
+    tickets. Only its own id shows whether it ran twice.
     """
 
     def _count_run(self, call: Call) -> None:
--- a/lab/once.py
+++ b/lab/once.py
@@ -1,7 +1,8 @@
-"""Bookings under kills, pauses and cuts, counted by the backend servers themselves.
+"""Checks that bookings run at most once under kills, pauses and network cuts.
 
-`make measure-once` runs it. In the same run, with the same faults at the same
-moments, naive forwarders book the same way. The last two lines give both results.
+Backend servers count the runs of each booking, for comparison with what callers were
+told. Naive forwarders book in the same run under the same faults, as a baseline. `make
+measure-once` runs it; the last two lines of its output give both results.
 """
 
 import random
@@ -21,7 +22,7 @@
 
 from .bookers import Balancer, Booking, Ending, PlainCaller, TicketCaller, call
 from .figures import Value, make_figures, save_figures
-from .oncefaults import Faults, Place, Victim, Window
+from .oncefaults import FaultSchedule, FaultTarget, FaultWindow, RestartableProcess
 from .processes import (
     Deployment,
     DeploymentShape,
@@ -38,23 +39,23 @@
 N_GROUPS = 3
 SERVERS = tuple(f"{group:02}-{letter}" for group in range(N_GROUPS) for letter in "ab")
 N_CALLERS = 12
-THINK_TIME = 0.1
-TRY_MS = 500
-# After the last fault, so that whatever would still run has run when it is counted.
-SETTLE_TIME = 3.0
-# Timing of membership, faster than the defaults so that a run has many episodes.
+THINK_TIME_S = 0.1
+ATTEMPT_LIMIT_MS = 500
+# Wait after the last fault, so that late runs are counted, too.
+SETTLE_TIME_S = 3.0
+# Faster failure detection than by default, so that a run covers many failures.
 CONTROL = {"probe_interval_ms": 500, "probe_timeout_ms": 200, "suspect_ms": 1_500}
 
 
 class Caller(Protocol):
-    """Whoever makes one booking from its beginning to its end."""
+    """Makes one booking, including all its retries."""
 
     async def book(self, booking: Booking) -> None: ...
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """What the backend servers' counts say about what callers were told."""
+    """Result of comparing callers' answers with the backend servers' run counts."""
 
     n_bookings: int
     run_twice: int
@@ -71,11 +72,11 @@
 
 
 def judge(bookings: Iterable[Booking], runs: Counter[str]) -> Verdict:
-    """Compare what callers were told with what was run.
+    """Compare the answers to callers with the runs of each request.
 
-    `run_twice` counts bookings that ran more than once, over all their tickets;
-    `false_not_run` tickets that were told "not run" and ran; `lost` those told
-    "answered" that never ran. Without an answer a caller knows nothing either.
+    `run_twice` counts bookings that ran more than once over all their tickets,
+    `false_not_run` tickets reported as "not run" that ran, and `lost` tickets reported
+    as "answered" that never ran. `n_unknown` includes bookings without an answer.
     """
     listed = list(bookings)
     unsure = (Ending.UNKNOWN, Ending.NO_ANSWER)
@@ -89,23 +90,23 @@
 
 
 class Load:
-    """Callers that book one after the other, each waiting a while in between."""
+    """Concurrent callers, each making bookings one after the other with pauses."""
 
-    def __init__(self, *, prefix: str, caller: Caller, dice: random.Random) -> None:
+    def __init__(self, *, prefix: str, caller: Caller, rng: random.Random) -> None:
         self.bookings: list[Booking] = []
         self._prefix = prefix
         self._caller = caller
-        self._dice = dice
+        self._rng = rng
 
     async def run(self, stop: trio.Event) -> None:
-        """Book until `stop`, and end what has begun."""
+        """Book until `stop` is set, then finish the open bookings."""
         async with trio.open_nursery() as nursery:
             for _ in range(N_CALLERS):
-                nursery.start_soon(self._keep_booking, stop)
+                nursery.start_soon(self._book_repeatedly, stop)
 
-    async def _keep_booking(self, stop: trio.Event) -> None:
+    async def _book_repeatedly(self, stop: trio.Event) -> None:
         while not stop.is_set():
-            await trio.sleep(THINK_TIME * self._dice.uniform(0.5, 1.5))
+            await trio.sleep(THINK_TIME_S * self._rng.uniform(0.5, 1.5))
             name = f"{self._prefix}-{len(self.bookings):05}"
             booking = Booking(name=name, started=trio.current_time())
             self.bookings.append(booking)
@@ -113,8 +114,8 @@
             booking.ended = trio.current_time()
 
 
-def write_shape(processes: Processes) -> Deployment:
-    """Write a deployment with a service of ours and one of the baseline, alike."""
+def write_once_deployment(processes: Processes) -> Deployment:
+    """Write a deployment with identical services for lavendergap and the baseline."""
     services = tuple(
         ServiceShape(name=name, n_groups=N_GROUPS, idempotent=False)
         for name in ("ledger", "naive")
@@ -123,10 +124,13 @@
     return write_deployment(shape=shape, directory=processes.directory)
 
 
-async def start_place(
+async def start_target(
     processes: Processes, deployment: Deployment, host: EntryHost, nursery: trio.Nursery
-) -> tuple[Place, str]:
-    """Start an entry host behind its relay, and the forwarder beside it."""
+) -> tuple[FaultTarget, str]:
+    """Start an entry host behind a relay, and its forwarder.
+
+    Also returns the forwarder's address as `ip:port`.
+    """
     bind = find_free_address()
     forwarder = find_free_address()
     relay = Relay(listen=parse_address(host.peers), to=parse_address(bind))
@@ -142,23 +146,25 @@
         processes.start,
         "lab.forwarder",
         [*settings, "--service", "naive", "--listen", forwarder]
-        + ["--try-ms", str(TRY_MS)],
+        + ["--try-ms", str(ATTEMPT_LIMIT_MS)],
         name=f"forwarder-{host.name}",
     )
-    place = Place(
+    target = FaultTarget(
         name=host.name,
-        entry=Victim(running=await start_entry(), restart=start_entry),
-        forwarder=Victim(running=await start_forwarder(), restart=start_forwarder),
+        entry=RestartableProcess(running=await start_entry(), restart=start_entry),
+        forwarder=RestartableProcess(
+            running=await start_forwarder(), restart=start_forwarder
+        ),
         relay=relay,
     )
-    return place, forwarder
+    return target, forwarder
 
 
 async def count_runs(control: str) -> Counter[str]:
     """Return how often each request was run, over all backend servers."""
     answer = await call(control, "GET", "/runs", limit=10.0)
     if answer is None:
-        raise RuntimeError("the backend stand-in does not tell its runs")
+        raise RuntimeError("the backend stand-in did not return its run counts")
     runs: Counter[str] = Counter()
     for by_request in answer.json.values():
         runs.update(by_request)
@@ -166,73 +172,77 @@
 
 
 def print_table(
-    title: str, bookings: Sequence[Booking], windows: Sequence[Window]
+    title: str, bookings: Sequence[Booking], windows: Sequence[FaultWindow]
 ) -> None:
-    """Print the endings of bookings by the kinds of fault in force meanwhile.
+    """Print the results of bookings by the kinds of fault active meanwhile.
 
-    Faults overlap, so that most bookings stand in more than one row.
+    Faults overlap, so that most bookings count in more than one row.
     """
     rows: dict[str, Counter[Ending]] = {}
     for booking in bookings:
-        met = {
+        kinds = {
             window.kind.value
             for window in windows
             if window.started <= booking.ended and booking.started <= window.ended
         }
-        for name in met or {"none"}:
+        for name in kinds or {"none"}:
             rows.setdefault(name, Counter())[booking.ending] += 1
     print(f"\n{title:24}" + "".join(f"{ending.value:>11}" for ending in Ending))
     for name, counts in sorted(rows.items()):
         print(f"{name:24}" + "".join(f"{counts[ending]:>11}" for ending in Ending))
 
 
-def print_doubts(bookings: Iterable[Booking]) -> None:
-    """Print why the bookings that stayed unknown are so."""
-    doubts = Counter(b.doubts[-1] for b in bookings if b.ending is Ending.UNKNOWN)
-    for doubt, n_bookings in doubts.most_common():
-        print(f"unknown, {doubt}: {n_bookings}")
+def print_unknown_reasons(bookings: Iterable[Booking]) -> None:
+    """Print the last reason of each booking that stayed unknown, with counts."""
+    unknown_reasons = Counter(
+        b.unknown_reasons[-1] for b in bookings if b.ending is Ending.UNKNOWN
+    )
+    for reason, n_bookings in unknown_reasons.most_common():
+        print(f"unknown, {reason}: {n_bookings}")
 
 
 async def measure(seconds: float, seed: int, output: Path | None) -> bool:
-    """Run the experiment; return whether our side kept its promises."""
+    """Run the experiment; return whether lavendergap had no failure."""
     async with (
         open_processes(directory=output) as processes,
         trio.open_nursery() as nursery,
     ):
-        deployment = write_shape(processes)
+        deployment = write_once_deployment(processes)
         controls = (find_free_address(), find_free_address())
         await processes.start_platform(deployment, control=controls[0])
         await processes.start(
             "lab.ledger",
             ["--settings", str(deployment.settings), "--control", controls[1]],
         )
-        places: list[Place] = []
+        targets: list[FaultTarget] = []
         forwarders: list[str] = []
 
         async def start(host: EntryHost) -> None:
-            place, forwarder = await start_place(processes, deployment, host, nursery)
-            places.append(place)
+            target, forwarder = await start_target(processes, deployment, host, nursery)
+            targets.append(target)
             forwarders.append(forwarder)
 
         async with trio.open_nursery() as starting:
             for host in deployment.hosts:
                 starting.start_soon(start, host)
-        places.sort(key=lambda place: place.name)
-        admin = {host.callers: host.admin for host in deployment.hosts}
-        balancer = Balancer(admin=admin, dice=random.Random(seed + 1))
+        targets.sort(key=lambda target: target.name)
+        admin_addresses = {host.callers: host.admin for host in deployment.hosts}
+        balancer = Balancer(
+            admin_addresses=admin_addresses, rng=random.Random(seed + 1)
+        )
         nursery.start_soon(balancer.run)
-        faults = Faults(
-            places=places,
+        faults = FaultSchedule(
+            targets=targets,
             servers=SERVERS,
             backend_control=controls[1],
             platform_control=controls[0],
-            dice=random.Random(seed),
+            rng=random.Random(seed),
         )
         ours = TicketCaller(balancer=balancer, service="ledger")
-        dice = random.Random(seed + 2)
-        naive = PlainCaller(choose=lambda: dice.choice(forwarders))
+        rng = random.Random(seed + 2)
+        naive = PlainCaller(choose=lambda: rng.choice(forwarders))
         loads = [
-            Load(prefix=prefix, caller=caller, dice=random.Random(seed + 3))
+            Load(prefix=prefix, caller=caller, rng=random.Random(seed + 3))
             for prefix, caller in (("t", ours), ("n", naive))
         ]
         stop = trio.Event()
@@ -241,9 +251,11 @@
                 running.start_soon(load.run, stop)
             await faults.run(seconds)
             stop.set()
-        await trio.sleep(SETTLE_TIME)
+        await trio.sleep(SETTLE_TIME_S)
         runs = await count_runs(controls[1])
-        is_kept = report(loads, faults, runs, [place.entry.running for place in places])
+        is_kept = report(
+            loads, faults, runs, [target.entry.running for target in targets]
+        )
         save_verdicts(loads, runs, {"seconds": seconds, "seed": seed})
         nursery.cancel_scope.cancel()
     return is_kept
@@ -251,33 +263,35 @@
 
 def report(
     loads: Sequence[Load],
-    faults: Faults,
+    faults: FaultSchedule,
     runs: Counter[str],
     entries: Sequence[Running],
 ) -> bool:
-    """Print the tables and the verdicts; return whether our side is without fault."""
+    """Print the tables and verdicts; return whether lavendergap had no failure."""
     ours, naive = loads
     print(f"{len(faults.windows)} faults, {len(ours.bookings)} bookings with tickets")
     print_table("lavendergap", ours.bookings, faults.windows)
     print_table("baseline", naive.bookings, faults.windows)
-    print_doubts(ours.bookings)
-    surprises = [each for booking in ours.bookings for each in booking.surprises]
-    for each in surprises:
-        print(f"SURPRISE {each}")
+    print_unknown_reasons(ours.bookings)
+    unexpected = [
+        each for booking in ours.bookings for each in booking.unexpected_answers
+    ]
+    for each in unexpected:
+        print(f"UNEXPECTED ANSWER {each}")
     dead = [entry for entry in entries if not entry.is_alive()]
     for entry in dead:
-        print(f"ENDED BY ITSELF {entry.name}\n{entry.read_tail()}")
+        print(f"EXITED UNEXPECTEDLY {entry.name}\n{entry.read_tail()}")
     verdict = judge(ours.bookings, runs)
     print(f"\nbaseline: {judge(naive.bookings, runs)}")
     print(verdict)
     wrong = verdict.run_twice + verdict.false_not_run + verdict.lost
-    return not wrong and not surprises and not dead
+    return not wrong and not unexpected and not dead
 
 
 def save_verdicts(
     loads: Sequence[Load], runs: Counter[str], conditions: dict[str, Value]
 ) -> None:
-    """Keep both verdicts for the pages that quote them."""
+    """Save both verdicts for the documentation."""
     ours, naive = (judge(load.bookings, runs) for load in loads)
     figures: dict[str, float] = {
         "bookings": ours.n_bookings,
@@ -294,9 +308,9 @@
 @click.command()
 @click.option("--seconds", type=float, default=75.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--output", type=click.Path(path_type=Path), help="Keep logs there.")
+@click.option("--output", type=click.Path(path_type=Path), help="Directory for logs.")
 def main(seconds: float, seed: int, output: Path | None) -> None:
-    """Book under faults and count what was run."""
+    """Book under faults and compare the answers with the run counts."""
     if not trio.run(measure, seconds, seed, output):
         sys.exit(1)
 
--- a/lab/oncefaults.py
+++ b/lab/oncefaults.py
@@ -1,4 +1,4 @@
-"""Faults that strike a deployment and a baseline at the same moments."""
+"""Injects the same faults into a deployment and a baseline at the same times."""
 
 import random
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -13,15 +13,15 @@
 from .bookers import call
 from .processes import Running
 
-SHORTEST = 0.3
-LONGEST = 2.5
-SPACING = 0.9
+MIN_FAULT_S = 0.3
+MAX_FAULT_S = 2.5
+FAULT_INTERVAL_S = 0.9
 SERVER_RESTART_MS = 700
-# A fault is felt for a while after its end, until it has been noticed.
-LINGER = 1.0
+# A fault still affects requests after its end, until hosts detect the recovery.
+DETECTION_TIME_S = 1.0
 
 
-class Kind(StrEnum):
+class FaultKind(StrEnum):
     """The kinds of fault."""
 
     KILL = "kill"
@@ -33,156 +33,163 @@
     OUTAGE = "platform down"
 
 
-WEIGHTS: Mapping[Kind, int] = {
-    Kind.KILL: 4,
-    Kind.STOP: 1,
-    Kind.PAUSE: 4,
-    Kind.CUT: 3,
-    Kind.CRASH_AFTER: 2,
-    Kind.CRASH_BEFORE: 1,
-    Kind.OUTAGE: 1,
+WEIGHTS: Mapping[FaultKind, int] = {
+    FaultKind.KILL: 4,
+    FaultKind.STOP: 1,
+    FaultKind.PAUSE: 4,
+    FaultKind.CUT: 3,
+    FaultKind.CRASH_AFTER: 2,
+    FaultKind.CRASH_BEFORE: 1,
+    FaultKind.OUTAGE: 1,
 }
 WAYS: tuple[Way, ...] = ("towards", "back", "both")
 
 
 @dataclass(kw_only=True, slots=True)
-class Victim:
-    """A process that is killed, stopped and paused, and started again."""
+class RestartableProcess:
+    """A process that faults kill, stop or pause, with a function to restart it."""
 
     running: Running
     restart: Callable[[], Awaitable[Running]]
 
     async def kill(self) -> None:
-        """End it without warning."""
+        """Kill the process with SIGKILL."""
         await self.running.kill()
 
-    async def revive(self) -> None:
-        """Start it again after its end."""
+    async def start_again(self) -> None:
+        """Start the process again after its end."""
         self.running = await self.restart()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
-    """An entry host with its relay, and the forwarder that shares its faults."""
+class FaultTarget:
+    """An entry host with its relay, and the forwarder that gets the same faults."""
 
     name: str
-    entry: Victim
-    forwarder: Victim
+    entry: RestartableProcess
+    forwarder: RestartableProcess
     relay: Relay
 
 
 @dataclass(kw_only=True, slots=True)
-class Window:
-    """When a fault was in force; `ended` is infinite until it is over."""
+class FaultWindow:
+    """When a fault was active; `ended` is infinite until then.
 
-    kind: Kind
-    where: str
+    `affected` is the name of a host or server, or "platform".
+    """
+
+    kind: FaultKind
+    affected: str
     started: float
     ended: float = float("inf")
 
 
-class Faults:
-    """Strikes by a schedule that depends on `dice` alone."""
+class FaultSchedule:
+    """Injects faults at times and places that depend on `rng` alone."""
 
     def __init__(
         self,
         *,
-        places: Sequence[Place],
+        targets: Sequence[FaultTarget],
         servers: Sequence[str],
         backend_control: str,
         platform_control: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
-        self.windows: list[Window] = []
-        self._places = places
+        self.windows: list[FaultWindow] = []
+        self._targets = targets
         self._servers = servers
         self._backend_control = backend_control
         self._platform_control = platform_control
-        self._dice = dice
-        self._struck: set[str] = set()
+        self._rng = rng
+        self._active: set[str] = set()
 
     async def run(self, seconds: float) -> None:
-        """Strike for so long, then return once everything is whole again."""
+        """Inject faults for `seconds`; return once all have ended."""
         stop_at = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < stop_at:
-                await trio.sleep(SPACING * self._dice.uniform(0.5, 1.5))
-                self._strike(nursery)
+                await trio.sleep(FAULT_INTERVAL_S * self._rng.uniform(0.5, 1.5))
+                self._inject(nursery)
 
-    def _strike(self, nursery: trio.Nursery) -> None:
-        # All is drawn before anything is looked at, so that the schedule stays the
-        # same whatever the processes do meanwhile.
+    def _inject(self, nursery: trio.Nursery) -> None:
+        # All random values are drawn before any state is checked, so that the schedule
+        # does not depend on the timing of the processes.
         kinds = list(WEIGHTS)
-        kind = self._dice.choices(kinds, weights=list(WEIGHTS.values()))[0]
-        place = self._dice.choice(self._places)
-        server = self._dice.choice(self._servers)
-        way = self._dice.choice(WAYS)
-        lasting = self._dice.uniform(SHORTEST, LONGEST)
-        where = place.name
+        kind = self._rng.choices(kinds, weights=list(WEIGHTS.values()))[0]
+        target = self._rng.choice(self._targets)
+        server = self._rng.choice(self._servers)
+        way = self._rng.choice(WAYS)
+        duration_s = self._rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        affected = target.name
         match kind:
-            case Kind.CRASH_AFTER | Kind.CRASH_BEFORE:
-                where = server
-            case Kind.OUTAGE:
-                where = "platform"
-        if where in self._struck:
+            case FaultKind.CRASH_AFTER | FaultKind.CRASH_BEFORE:
+                affected = server
+            case FaultKind.OUTAGE:
+                affected = "platform"
+        if affected in self._active:
             return
-        window = Window(kind=kind, where=where, started=trio.current_time())
+        window = FaultWindow(kind=kind, affected=affected, started=trio.current_time())
         self.windows.append(window)
-        self._struck.add(where)
-        nursery.start_soon(self._hold, window, place, way, lasting)
+        self._active.add(affected)
+        nursery.start_soon(self._apply, window, target, way, duration_s)
 
-    async def _hold(
-        self, window: Window, place: Place, way: Way, lasting: float
+    async def _apply(
+        self, window: FaultWindow, target: FaultTarget, way: Way, duration_s: float
     ) -> None:
-        victims = (place.entry, place.forwarder)
+        processes = (target.entry, target.forwarder)
         match window.kind:
-            case Kind.KILL:
-                for victim in victims:
-                    await victim.kill()
-                await trio.sleep(lasting)
-                await _do_both(victims[0].revive, victims[1].revive)
-            case Kind.STOP:
-                await _do_both(victims[0].running.stop, victims[1].running.stop)
-                await _do_both(victims[0].revive, victims[1].revive)
-            case Kind.PAUSE:
-                for victim in victims:
-                    victim.running.pause()
-                await trio.sleep(lasting)
-                for victim in victims:
-                    victim.running.resume()
-            case Kind.CUT:
-                place.relay.cut(way)
-                await trio.sleep(lasting)
-                place.relay.restore()
-            case Kind.CRASH_AFTER:
-                await self._crash(window.where, "after run", lasting)
-            case Kind.CRASH_BEFORE:
-                await self._crash(window.where, "before run", lasting)
-            case Kind.OUTAGE:
+            case FaultKind.KILL:
+                for process in processes:
+                    await process.kill()
+                await trio.sleep(duration_s)
+                await _run_together(processes[0].start_again, processes[1].start_again)
+            case FaultKind.STOP:
+                await _run_together(
+                    processes[0].running.stop, processes[1].running.stop
+                )
+                await _run_together(processes[0].start_again, processes[1].start_again)
+            case FaultKind.PAUSE:
+                for process in processes:
+                    process.running.pause()
+                await trio.sleep(duration_s)
+                for process in processes:
+                    process.running.resume()
+            case FaultKind.CUT:
+                target.relay.cut(way)
+                await trio.sleep(duration_s)
+                target.relay.restore()
+            case FaultKind.CRASH_AFTER:
+                await self._crash(window.affected, "after run", duration_s)
+            case FaultKind.CRASH_BEFORE:
+                await self._crash(window.affected, "before run", duration_s)
+            case FaultKind.OUTAGE:
                 await set_faults(self._platform_control, {"down": True})
-                await trio.sleep(lasting)
+                await trio.sleep(duration_s)
                 await set_faults(self._platform_control, {"down": False})
-        window.ended = trio.current_time() + LINGER
-        self._struck.discard(window.where)
+        window.ended = trio.current_time() + DETECTION_TIME_S
+        self._active.discard(window.affected)
 
-    async def _crash(self, server: str, when: str, lasting: float) -> None:
-        """Let a server of each service die at its next call, and come back."""
+    async def _crash(self, server: str, when: str, duration_s: float) -> None:
+        """Make a server of each service crash at its next call, and restart."""
         pattern = f"*-{server}"
         faults = {"crash": when, "restart_ms": SERVER_RESTART_MS}
         await set_faults(self._backend_control, {pattern: faults})
-        await trio.sleep(lasting)
+        await trio.sleep(duration_s)
         await set_faults(self._backend_control, {pattern: {"crash": "no"}})
 
 
-async def _do_both(*actions: Callable[[], Awaitable[object]]) -> None:
+async def _run_together(*actions: Callable[[], Awaitable[object]]) -> None:
     async with trio.open_nursery() as nursery:
         for action in actions:
             nursery.start_soon(action)
 
 
 async def set_faults(control: str, faults: Mapping[str, object]) -> None:
-    """Set faults at a stand-in's control port; raises RuntimeError if refused."""
+    """Set faults at a stand-in's control port; raises RuntimeError on failure."""
     body = msgspec.json.encode(faults)
     answer = await call(control, "POST", "/faults", body=body, limit=5.0)
     if answer is None or answer.status != 200:
-        raise RuntimeError(f"the stand-in at {control} did not take {faults}: {answer}")
+        raise RuntimeError(
+            f"the stand-in at {control} did not accept {faults}: {answer}"
+        )
--- a/lab/relayed.py
+++ b/lab/relayed.py
@@ -1,8 +1,8 @@
-"""Runs the daemon so that its peers' channels come through a relay.
+"""Runs the daemon behind a relay for its peers' channels.
 
-The relay stands at the host's address for peers, and the daemon listens for channels
-elsewhere. Datagrams of membership go straight to the daemon, so that its peers go on
-to believe in it while the channels are silent: the harder case.
+The relay listens at the host's address for peers, the daemon at another one. Membership
+datagrams still reach the daemon directly, so that its peers consider the host live
+while its channels are silent.
 """
 
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class RelayedDaemon(Daemon):
-    """Takes peers' channels at `bind` in place of the host's own address."""
+    """Accepts peers' channels at `bind` instead of the host's address for peers."""
 
     def __init__(self, *, settings: Settings, own: Host, bind: Address) -> None:
         super().__init__(settings=settings, own=own)
@@ -31,7 +31,9 @@
 @click.command()
 @click.option("--settings", type=click.Path(exists=True, path_type=Path), required=True)
 @click.option("--host", required=True)
-@click.option("--bind", required=True, help="IP:PORT to take peers' channels at.")
+@click.option(
+    "--bind", required=True, help="IP:PORT where peers' channels are accepted."
+)
 def main(settings: Path, host: str, bind: str) -> None:
     """Run the daemon of a host until SIGTERM."""
     configure_logs()
--- a/lab/serverends.py
+++ b/lab/serverends.py
@@ -1,9 +1,9 @@
-"""Measures what a request that ends servers costs all other callers.
+"""Measures the effect of a request that crashes servers on other callers.
 
-Five gateway hosts, ten shards with two servers each, 20 searches a second, each
-retried once as callers do. One search ends each server that begins to run it; its
-caller repeats it, at once and later. `python -m lab.serverends` prints how many of the
-other searches were answered, second by second, and how many servers ended.
+Five gateway hosts and ten shards with two servers each get 20 searches a second, each
+retried once. One search crashes every server that starts to run it, and its caller
+repeats it. `python -m lab.serverends` prints the share of other searches answered in
+each second and the number of servers that crashed.
 """
 
 import tempfile
@@ -17,22 +17,25 @@
 from .gateways import Platform, make_search_route, open_platform
 
 N_SHARDS = 10
-PLACES = ("ptl-a", "ptl-a", "ptl-b", "sea-a", "sea-b")
-DEADLY = "/all/deadly"
-AWAY_S = 3.0
+GATEWAY_DATA_CENTRES = ("ptl-a", "ptl-a", "ptl-b", "sea-a", "sea-b")
+CRASH_PATH = "/all/deadly"
+RESTART_S = 3.0
 SETTLE_S = 3.0
-SEARCHES_A_SECOND = 20
+SEARCHES_PER_S = 20
 DURATION_S = 24.0
-DEADLY_AT = (3.0, 3.02, 7.5, 7.53, 12.0, 16.5)
+CRASH_TIMES_S = (3.0, 3.02, 7.5, 7.53, 12.0, 16.5)
 DEADLINE_MS = 400
 MIN_COVERAGE = 0.89
-N_TRIES = 2
+MAX_ATTEMPTS = 2
 OK = 200
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Case:
-    """How long a server works on a search and, on the deadly one, until it ends."""
+    """Time that a server works on a search, and until it crashes on the other one.
+
+    `goal_ms` is the latency goal of the route, which hedging is based on.
+    """
 
     name: str
     work_s: float
@@ -48,43 +51,43 @@
 
 @dataclass(kw_only=True)
 class Tally:
-    """How many searches came and were answered, by the second in which they came."""
+    """The numbers of searches sent and answered, by the second they were sent in."""
 
     n_asked: Counter[int] = field(default_factory=Counter)
     n_answered: Counter[int] = field(default_factory=Counter)
 
 
 async def start_fleet(platform: Platform, case: Case) -> None:
-    """Start servers that the deadly request ends, and the hosts before them."""
-    for place in range(N_SHARDS):
-        far = "sea-b" if place % 2 else "ptl-b"
-        for zone in ("ptl-a", far):
+    """Start servers that crash on the request to `CRASH_PATH`, and the gateways."""
+    for index in range(N_SHARDS):
+        remote = "sea-b" if index % 2 else "ptl-b"
+        for zone in ("ptl-a", remote):
             leaf = await platform.add_leaf(
-                f"shard{place}",
+                f"shard{index}",
                 zone,
-                ends_on=DEADLY,
+                ends_on=CRASH_PATH,
                 ends_after=case.ends_after_s,
-                away=AWAY_S,
+                away=RESTART_S,
             )
             leaf.faults.work = case.work_s
-    shards = [f"shard{place}" for place in range(N_SHARDS)]
+    shards = [f"shard{index}" for index in range(N_SHARDS)]
     route = make_search_route(
         "/all/", shards, min_coverage=MIN_COVERAGE, slo_ms=case.goal_ms
     )
     platform.write_routes(1, [route])
-    for zone in PLACES:
+    for zone in GATEWAY_DATA_CENTRES:
         platform.add_gateway(zone)
     for gateway in platform.gateways:
         await platform.wait_ready(gateway)
     await trio.sleep(SETTLE_S)
 
 
-async def search(platform: Platform, dice: Random, path: str) -> int:
-    """Ask any host; return the status, or 0 for no answer."""
+async def search(platform: Platform, rng: Random, path: str) -> int:
+    """Search through a random host; return the status, or 0 without an answer."""
     with trio.move_on_after(1.0):
         try:
             answer = await platform.request(
-                dice.choice(platform.gateways), path, deadline_ms=DEADLINE_MS
+                rng.choice(platform.gateways), path, deadline_ms=DEADLINE_MS
             )
         except (OSError, trio.BrokenResourceError):
             return 0
@@ -93,39 +96,41 @@
 
 
 async def search_as_callers(
-    platform: Platform, dice: Random, place: int, second: int, tally: Tally
+    platform: Platform, rng: Random, index: int, second: int, tally: Tally
 ) -> None:
-    """Search, and once more after a failure."""
+    """Search, with one retry after a failure."""
     tally.n_asked[second] += 1
-    for _ in range(N_TRIES):
-        if await search(platform, dice, f"/all/x{place}") == OK:
+    for _ in range(MAX_ATTEMPTS):
+        if await search(platform, rng, f"/all/x{index}") == OK:
             tally.n_answered[second] += 1
             return
 
 
-async def repeat_deadly(platform: Platform, dice: Random, began: float) -> None:
-    """Send the request that ends servers at its times."""
-    for at in DEADLY_AT:
-        await trio.sleep_until(began + at)
-        status = await search(platform, dice, DEADLY)
+async def repeat_crash_request(
+    platform: Platform, rng: Random, started_at: float
+) -> None:
+    """Send the request that crashes servers at each of `CRASH_TIMES_S`."""
+    for at in CRASH_TIMES_S:
+        await trio.sleep_until(started_at + at)
+        status = await search(platform, rng, CRASH_PATH)
         n_ended = sum(len(leaf.ended_by) for leaf in platform.leafs)
-        print(f"deadly request at {at:5.2f} s: {status}, {n_ended} servers ended")
+        print(f"crash request at {at:5.2f} s: {status}, {n_ended} servers crashed")
 
 
 async def measure(directory: Path, case: Case) -> None:
-    """Run one case and print what callers got."""
-    dice = Random(1)
+    """Run one case and print what callers received."""
+    rng = Random(1)
     tally = Tally()
     async with open_platform(directory) as platform:
         await start_fleet(platform, case)
-        began = trio.current_time()
+        started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(repeat_deadly, platform, dice, began)
-            for place in range(int(DURATION_S * SEARCHES_A_SECOND)):
-                await trio.sleep_until(began + place / SEARCHES_A_SECOND)
-                second = place // SEARCHES_A_SECOND
+            nursery.start_soon(repeat_crash_request, platform, rng, started_at)
+            for index in range(int(DURATION_S * SEARCHES_PER_S)):
+                await trio.sleep_until(started_at + index / SEARCHES_PER_S)
+                second = index // SEARCHES_PER_S
                 nursery.start_soon(
-                    search_as_callers, platform, dice, place, second, tally
+                    search_as_callers, platform, rng, index, second, tally
                 )
         n_ended = sum(len(leaf.ended_by) for leaf in platform.leafs)
     for second, n_asked in sorted(tally.n_asked.items()):
@@ -135,7 +140,7 @@
 
 
 def main() -> None:
-    """Measure each case in a directory of its own."""
+    """Measure each case in a separate directory."""
     for case in CASES:
         with tempfile.TemporaryDirectory() as directory:
             trio.run(measure, Path(directory), case)
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -1,9 +1,9 @@
-"""A randomized soak of gateway hosts; `make soak`, `SOAK_SEEDS="1 2 3" make soak`.
+"""A randomized soak test of gateways; `make soak`, `SOAK_SEEDS="1 2 3" make soak`.
 
-Real gateway processes stand behind a loopback proxy to a stand-in of the store, before
-stand-ins of servers. Faults come in series that overlap, drawn from the seed, while
-callers ask. What callers and servers saw is held against the promises; the last line
-is `seeds= faults= requests= broken=`, and the exit code is 1 when any was broken.
+Real gateway processes reach a stand-in of the store through a proxy, and stand-ins of
+backend servers. Overlapping faults are drawn from the seed while callers send requests.
+The answers and the servers' records are checked against the guarantees. The last line
+is `seeds= faults= requests= broken=`; the exit code is 1 after any violation.
 """
 
 import os
@@ -42,44 +42,45 @@
 N_SHARDS = 5
 N_RECORDS = 5
 MIN_SHARE = 0.5
-N_FRESH = 3
-LENGTH = 14.0
+N_RANDOM_SEEDS = 3
+SEED_DURATION_S = 14.0
 N_CALLERS = 6
-CALLER_PAUSE = 0.05
-TIME_LEFT_MS = 1_500
-# A change has to be in force within 3 s of its acceptance, on hosts that reach the
-# store; the soak allows a second more, since it shares the machine with others.
-APPLY_LIMIT = 4.0
-# Faults of the store and freezes of hosts end some time before the last check, and a
-# host that was touched by one is left out of the bounds for as long.
-QUIET = 4.5
-# One caller's search ends each server that begins to run it, and comes again and again.
-DEADLY = "/all/deadly"
-DEADLY_PAUSE = (0.2, 1.5)
-LEAF_AWAY = 0.7
-# What the users bear once it has ended three servers. A host that is killed or frozen
-# with it under way may have told nobody, and each such harm allows one more.
-MAX_DEADLY = 4
-HELD_BACK = b"held back"
+CALLER_PAUSE_S = 0.05
+REQUEST_DEADLINE_MS = 1_500
+# A change must be in force within 3 s of its acceptance on hosts that reach the store;
+# one second more is allowed for a busy machine.
+APPLY_LIMIT_S = 4.0
+# Time without faults before the final checks. Bounds on the time of a change are not
+# checked for as long after a fault of the store or of a host.
+QUIET_S = 4.5
+# One caller repeats a search that crashes each server that starts to run it.
+CRASH_PATH = "/all/deadly"
+CRASH_PAUSE_S = (0.2, 1.5)
+LEAF_RESTART_S = 0.7
+# How many of these requests may crash a server before hosts quarantine them. A host
+# that is killed or frozen while running one may not report it to its peers, so each
+# such fault allows one more.
+MAX_CRASH_REQUESTS = 4
+HELD_BACK_TEXT = b"held back"
 
 
 @dataclass
 class Tally:
-    """What was done and what was broken, over all seeds."""
+    """Counts of faults and answers, and the violations, over all seeds."""
 
     faults: Counter[str] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class Soak:
-    """One seed: a platform, its faults, its callers and its checks."""
+    """The run of one seed: a platform with faults, callers and checks."""
 
     def __init__(
         self, *, seed: int, platform: Platform, proxy: Proxy, tally: Tally
     ) -> None:
         self.seed = seed
-        self.dice = Random(seed)
+        self.rng = Random(seed)
         self.platform = platform
         self.proxy = proxy
         self.tally = tally
@@ -91,15 +92,15 @@
         self.bookings: list[str] = []
         self.n_requests = 0
         self.retired: list[Leaf] = []
-        self.n_host_harms = 0
-        self.n_deadly = 0
+        self.n_host_faults = 0
+        self.n_crash_requests = 0
         self.evacuated: set[str] = set()
 
-    def break_promise(self, text: str) -> None:
-        """Note a broken promise with all that leads back to it."""
+    def report_violation(self, text: str) -> None:
+        """Record and print a violated guarantee with its seed and time."""
         at = trio.current_time()
-        self.tally.broken.append(f"seed {self.seed}: {text} (at {at:.2f})")
-        print(self.tally.broken[-1], flush=True)
+        self.tally.violations.append(f"seed {self.seed}: {text} (at {at:.2f})")
+        print(self.tally.violations[-1], flush=True)
 
     # The deployment.
 
@@ -119,12 +120,14 @@
             await self.platform.wait_ready(gateway)
 
     async def add_leaf(self, service: str, zone: str) -> None:
-        """Start a server that the deadly request ends."""
-        await self.platform.add_leaf(service, zone, ends_on=DEADLY, away=LEAF_AWAY)
+        """Start a server that crashes on the request to `CRASH_PATH`."""
+        await self.platform.add_leaf(
+            service, zone, ends_on=CRASH_PATH, away=LEAF_RESTART_S
+        )
 
     def write_routes(self) -> None:
-        """Write a newer version of the routes, with a path of its own."""
-        self.version += self.dice.randint(1, 3)
+        """Write a newer version of the routes, with a path that only it has."""
+        self.version += self.rng.randint(1, 3)
         self.routes_at = trio.current_time()
         self.platform.write_routes(
             self.version,
@@ -138,51 +141,54 @@
 
     # Callers.
 
-    async def call_for_ever(self, number: int) -> None:
-        """Ask one request after the other, on connections kept until they end."""
-        dice = Random(self.seed * 100 + number)
+    async def send_requests(self, number: int) -> None:
+        """Send requests one after the other, over persistent connections."""
+        rng = Random(self.seed * 100 + number)
         while True:
-            gateway = dice.choice(self.platform.gateways)
+            gateway = rng.choice(self.platform.gateways)
             try:
-                await self.keep_connection(gateway, dice)
+                await self.use_connection(gateway, rng)
             except (OSError, trio.BrokenResourceError, h11.RemoteProtocolError):
-                await trio.sleep(CALLER_PAUSE)
+                await trio.sleep(CALLER_PAUSE_S)
 
-    async def repeat_deadly(self) -> None:
-        """Send the request that ends servers, at any host, until cancelled."""
-        dice = Random(self.seed)
+    async def repeat_crash_request(self) -> None:
+        """Send the request that crashes servers to random hosts, until cancelled."""
+        rng = Random(self.seed)
         while True:
-            await trio.sleep(dice.uniform(*DEADLY_PAUSE))
-            gateway = dice.choice(self.platform.gateways)
-            self.n_deadly += 1
-            attempt = f"deadly{self.seed}-{self.n_deadly}"
-            with trio.move_on_after(TIME_LEFT_MS / 1_000 + 1.0):
+            await trio.sleep(rng.uniform(*CRASH_PAUSE_S))
+            gateway = rng.choice(self.platform.gateways)
+            self.n_crash_requests += 1
+            attempt = f"deadly{self.seed}-{self.n_crash_requests}"
+            with trio.move_on_after(REQUEST_DEADLINE_MS / 1_000 + 1.0):
                 try:
                     answer = await self.platform.request(
-                        gateway, DEADLY, attempt=attempt, deadline_ms=TIME_LEFT_MS
+                        gateway,
+                        CRASH_PATH,
+                        attempt=attempt,
+                        deadline_ms=REQUEST_DEADLINE_MS,
                     )
                 except (OSError, trio.BrokenResourceError, h11.RemoteProtocolError):
                     continue
                 if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
                     self.not_run.append(attempt)
 
-    async def keep_connection(self, gateway: Gateway, dice: Random) -> None:
-        """Ask on one connection until an answer says to close it."""
+    async def use_connection(self, gateway: Gateway, rng: Random) -> None:
+        """Send requests over one connection until an answer closes it."""
         stream = await trio.open_tcp_stream("127.0.0.1", gateway.ports[0])
         async with stream:
             http = h11.Connection(h11.CLIENT)
-            for _ in range(dice.randint(1, 40)):
-                path = dice.choice(("/all/", "/all/", "/one/", "/book/"))
+            for _ in range(rng.randint(1, 40)):
+                path = rng.choice(("/all/", "/all/", "/one/", "/book/"))
                 answer = await self.ask(stream, http, path)
                 if answer.get("connection") == "close":
                     return
                 http.start_next_cycle()
-                await trio.sleep(CALLER_PAUSE * dice.random() * 2)
+                await trio.sleep(CALLER_PAUSE_S * rng.random() * 2)
 
     async def ask(
         self, stream: trio.SocketStream, http: h11.Connection, path: str
     ) -> Answer:
-        """Make one request and hold its answer against the promises."""
+        """Send one request and check its answer."""
         self.n_requests += 1
         attempt = f"s{self.seed}-{self.n_requests}"
         if path == "/book/":
@@ -190,66 +196,77 @@
         headers = [
             ("Host", HOST),
             ("Lavendergap-Attempt-Id", attempt),
-            ("Lavendergap-Deadline-Ms", str(TIME_LEFT_MS)),
+            ("Lavendergap-Deadline-Ms", str(REQUEST_DEADLINE_MS)),
         ]
         request = h11.Request(method="GET", target=path, headers=headers)
         data = http.send(request) or b""
         await stream.send_all(data + (http.send(h11.EndOfMessage()) or b""))
-        with trio.fail_after(TIME_LEFT_MS / 1_000 + 3.0):
+        with trio.fail_after(REQUEST_DEADLINE_MS / 1_000 + 3.0):
             answer = await read_answer(stream, http)
         self.tally.answers[answer.status] += 1
         self.check(path, attempt, answer)
         return answer
 
     def check(self, path: str, attempt: str, answer: Answer) -> None:
-        """Hold one answer against what servers have for its request."""
+        """Check one answer against what servers return for its request."""
         if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
             self.not_run.append(attempt)
-            if HELD_BACK in answer.body:
-                self.break_promise(f"{path} {attempt}: held back, and ends no server")
+            if HELD_BACK_TEXT in answer.body:
+                self.report_violation(
+                    f"{path} {attempt}: held back, but crashes no server"
+                )
         elif answer.status == HTTPStatus.OK and path == "/all/":
             self.check_joined(attempt, answer)
         elif answer.status == HTTPStatus.OK:
             proof = answer.get("lavendergap-server-stamp")
             is_own = answer.body == make_part("desk", attempt, b"")
             if not is_own or not proof.endswith(f".{attempt}"):
-                self.break_promise(f"{path} {attempt}: not its own whole answer")
+                self.report_violation(
+                    f"{path} {attempt}: not the complete answer to this request"
+                )
 
     def check_joined(self, attempt: str, answer: Answer) -> None:
-        """Hold a joined answer against the parts that it names."""
+        """Check a joined answer against the parts that it lists."""
         services = {
             server_id: leaf.service
             for leaf in self.all_leafs()
             for server_id in (leaf.server_id, *leaf.past_ids)
         }
-        named = []
+        services_answered = []
         for proof in answer.proofs:
             server, _, of = proof.partition(".")
             if of != attempt or server not in services:
-                self.break_promise(f"{attempt}: proof {proof} is of another request")
+                self.report_violation(
+                    f"{attempt}: stamp {proof} belongs to another request"
+                )
                 return
-            named.append(services[server])
+            services_answered.append(services[server])
         missing = int(answer.get("lavendergap-missing-parts") or 0)
-        if len(set(named)) != len(named) or len(named) + missing != N_SHARDS:
-            self.break_promise(f"{attempt}: parts {named} and {missing} missing")
-        if len(named) < MIN_SHARE * N_SHARDS:
-            self.break_promise(f"{attempt}: only {len(named)} parts")
-        parts = [make_part(name, attempt, b"") for name in named]
+        if (
+            len(set(services_answered)) != len(services_answered)
+            or len(services_answered) + missing != N_SHARDS
+        ):
+            self.report_violation(
+                f"{attempt}: parts {services_answered}, with {missing} missing"
+            )
+        if len(services_answered) < MIN_SHARE * N_SHARDS:
+            self.report_violation(f"{attempt}: only {len(services_answered)} parts")
+        parts = [make_part(name, attempt, b"") for name in services_answered]
         records = sorted(
             (p[at : at + 16] for p in parts for at in range(0, len(p), 16)),
             reverse=True,
         )
         if answer.body != b"".join(records[:N_RECORDS]):
-            self.break_promise(f"{attempt}: not the greatest records of its parts")
+            self.report_violation(f"{attempt}: not the greatest records of its parts")
 
     def all_leafs(self) -> list[Leaf]:
-        """Return every server that ever was."""
+        """Return all servers, including retired ones."""
         return [*self.platform.leafs, *self.retired]
 
     # Faults.
 
-    async def disturb(self) -> None:
-        """Bring about faults, one series beside the other, until the quiet end."""
+    async def inject_faults(self) -> None:
+        """Inject overlapping faults until `QUIET_S` before the end."""
         faults: list[Callable[[], Awaitable[None]]] = [
             self.kill_host,
             self.pause_host,
@@ -265,42 +282,42 @@
             self.signal_reload,
         ]
         async with trio.open_nursery() as nursery:
-            with trio.move_on_after(LENGTH - QUIET):
+            with trio.move_on_after(SEED_DURATION_S - QUIET_S):
                 while True:
-                    fault = self.dice.choice(faults)
+                    fault = self.rng.choice(faults)
                     self.tally.faults[fault.__name__] += 1
                     nursery.start_soon(fault)
-                    await trio.sleep(self.dice.uniform(0.1, 1.2))
+                    await trio.sleep(self.rng.uniform(0.1, 1.2))
 
-    def touch(self, *gateways: Gateway) -> None:
-        """Leave hosts out of the bounds for a while: they were disturbed."""
+    def mark_disturbed(self, *gateways: Gateway) -> None:
+        """Record a fault of these hosts, or of all, which suspends checks of bounds."""
         for gateway in gateways or self.platform.gateways:
             self.disturbed_at[gateway.name] = trio.current_time()
 
     async def kill_host(self) -> None:
-        self.n_host_harms += 1
-        gateway = self.dice.choice(self.platform.gateways)
-        self.touch(gateway)
+        self.n_host_faults += 1
+        gateway = self.rng.choice(self.platform.gateways)
+        self.mark_disturbed(gateway)
         gateway.kill()
-        await trio.sleep(self.dice.uniform(0.0, 0.5))
+        await trio.sleep(self.rng.uniform(0.0, 0.5))
         gateway.kill()
         gateway.start()
 
     async def pause_host(self) -> None:
-        self.n_host_harms += 1
-        gateway = self.dice.choice(self.platform.gateways)
-        self.touch(gateway)
+        self.n_host_faults += 1
+        gateway = self.rng.choice(self.platform.gateways)
+        self.mark_disturbed(gateway)
         process = gateway.process
         gateway.send(signal.SIGSTOP)
-        await trio.sleep(self.dice.uniform(0.1, 2.0))
+        await trio.sleep(self.rng.uniform(0.1, 2.0))
         if process is gateway.process:
             gateway.send(signal.SIGCONT)
-        self.touch(gateway)
+        self.mark_disturbed(gateway)
 
     async def stop_host(self) -> None:
-        self.n_host_harms += 1
-        gateway = self.dice.choice(self.platform.gateways)
-        self.touch(gateway)
+        self.n_host_faults += 1
+        gateway = self.rng.choice(self.platform.gateways)
+        self.mark_disturbed(gateway)
         process = gateway.process
         gateway.send(signal.SIGTERM)
         with trio.move_on_after(7.0):
@@ -309,23 +326,23 @@
         if process is gateway.process:
             gateway.kill()
             gateway.start()
-        self.touch(gateway)
+        self.mark_disturbed(gateway)
 
     async def harm_store(self) -> None:
         store = self.platform.store
-        self.touch()
+        self.mark_disturbed()
         modes: tuple[Mode, ...] = ("busy", "silent", "lost")
-        if self.dice.random() < 0.25:
+        if self.rng.random() < 0.25:
             store.forget_history()
         elif store.mode == "up":
-            store.mode = self.dice.choice(modes)
-            await trio.sleep(self.dice.uniform(0.3, 2.5))
+            store.mode = self.rng.choice(modes)
+            await trio.sleep(self.rng.uniform(0.3, 2.5))
             store.mode = "up"
-        self.touch()
+        self.mark_disturbed()
 
     async def harm_proxy(self) -> None:
-        self.touch()
-        match self.dice.randrange(5):
+        self.mark_disturbed()
+        match self.rng.randrange(5):
             case 0:
                 self.proxy.silence()
             case 1:
@@ -339,16 +356,16 @@
                 await trio.sleep(1.0)
                 self.proxy.is_cut = False
             case _:
-                self.proxy.one_way = True
+                self.proxy.drops_answers = True
                 await trio.sleep(1.0)
-                self.proxy.one_way = False
-        self.touch()
+                self.proxy.drops_answers = False
+        self.mark_disturbed()
 
     async def harm_leaf(self) -> None:
-        # Bookings go to one service only, and what happens to them matters most.
-        service = self.dice.choice(["desk", self.dice.choice(self.shards)])
+        # The service of bookings is chosen more often, for its stronger guarantees.
+        service = self.rng.choice(["desk", self.rng.choice(self.shards)])
         leafs = [leaf for leaf in self.platform.leafs if leaf.service == service]
-        if self.dice.random() < 0.5:
+        if self.rng.random() < 0.5:
             leafs = leafs[:1]
         faults = (
             LeafFaults(work=0.3),
@@ -358,16 +375,16 @@
             LeafFaults(n_copies=2),
             LeafFaults(work=30.0),
         )
-        fault = self.dice.choice(faults)
+        fault = self.rng.choice(faults)
         for leaf in leafs:
             leaf.faults = fault
-        await trio.sleep(self.dice.uniform(0.3, 3.0))
+        await trio.sleep(self.rng.uniform(0.3, 3.0))
         for leaf in leafs:
             leaf.faults = LeafFaults()
 
     async def replace_leaf(self) -> None:
-        """Start a server beside one that drains, and hold its bound."""
-        leaf = self.dice.choice(self.platform.leafs)
+        """Replace a server, and check that calls to the drained one stop in time."""
+        leaf = self.rng.choice(self.platform.leafs)
         await self.add_leaf(leaf.service, leaf.zone)
         if leaf not in self.platform.leafs:
             return
@@ -378,14 +395,18 @@
         await trio.sleep(DRAIN_MS / 1_000 + 0.5)
         n_before = sum(leaf.arrivals.values())
         await trio.sleep(1.0)
-        late = sum(leaf.arrivals.values()) - n_before
-        is_calm = all(at < accepted_at - QUIET for at in self.disturbed_at.values())
-        if late and is_calm:
-            self.break_promise(f"{late} calls to {leaf.server_id}, which was leaving")
+        n_late_calls = sum(leaf.arrivals.values()) - n_before
+        is_undisturbed = all(
+            at < accepted_at - QUIET_S for at in self.disturbed_at.values()
+        )
+        if n_late_calls and is_undisturbed:
+            self.report_violation(
+                f"{n_late_calls} late calls to {leaf.server_id}, which was draining"
+            )
 
     async def evacuate(self) -> None:
-        """Evacuate a data centre for a while, and hold the bound."""
-        zone = self.dice.choice(ZONES)
+        """Evacuate a data centre, and check that calls to its servers stop in time."""
+        zone = self.rng.choice(ZONES)
         if zone in self.evacuated:
             return
         self.evacuated.add(zone)
@@ -394,15 +415,19 @@
         await trio.sleep(EVACUATE_MS / 1_000 + 0.5)
         n_before = self.count_arrivals(zone)
         await trio.sleep(1.0)
-        late = self.count_arrivals(zone) - n_before
-        is_calm = all(at < accepted_at - QUIET for at in self.disturbed_at.values())
-        if late and is_calm:
-            self.break_promise(f"{late} calls to {zone}, which was evacuated")
+        n_late_calls = self.count_arrivals(zone) - n_before
+        is_undisturbed = all(
+            at < accepted_at - QUIET_S for at in self.disturbed_at.values()
+        )
+        if n_late_calls and is_undisturbed:
+            self.report_violation(
+                f"{n_late_calls} late calls to {zone}, which was evacuated"
+            )
         self.platform.end_evacuation(zone)
         self.evacuated.discard(zone)
 
     def count_arrivals(self, zone: str) -> int:
-        """Count what came to the servers of a data centre, of all that ever were."""
+        """Count the requests to a data centre's servers, including retired ones."""
         return sum(
             leaf.arrivals.total() for leaf in self.all_leafs() if leaf.zone == zone
         )
@@ -411,35 +436,38 @@
         self.write_routes()
 
     async def signal_reload(self) -> None:
-        gateway = self.dice.choice(self.platform.gateways)
+        gateway = self.rng.choice(self.platform.gateways)
         if gateway.process is not None and gateway.process.poll() is None:
             gateway.send(signal.SIGHUP)
 
-    # The end.
+    # Final checks.
 
     async def check_end(self) -> None:
-        """After the faults: routes in force, and nothing run that should not have."""
+        """Check, after the faults, the routes in force and the runs of requests."""
         started = trio.current_time()
         for gateway in self.platform.gateways:
             await self.check_routes(gateway, started)
-        # In the middle of faults most drains are near one, and prove nothing.
+        # During the faults, most drains are too close to one for their bound to be
+        # checked.
         await self.replace_leaf()
         await self.evacuate()
         for attempt in self.bookings:
             n_runs = sum(leaf.runs[attempt] for leaf in self.all_leafs())
             if n_runs > 1:
-                self.break_promise(f"booking {attempt} ran {n_runs} times")
+                self.report_violation(f"booking {attempt} ran {n_runs} times")
         ended_by = {each for leaf in self.all_leafs() for each in leaf.ended_by}
-        if len(ended_by) > MAX_DEADLY + self.n_host_harms:
-            self.break_promise(f"{len(ended_by)} of {self.n_deadly} ended servers")
+        if len(ended_by) > MAX_CRASH_REQUESTS + self.n_host_faults:
+            self.report_violation(
+                f"{len(ended_by)} of {self.n_crash_requests} requests crashed servers"
+            )
         for attempt in self.not_run:
             if any(leaf.runs[attempt] for leaf in self.all_leafs()):
-                self.break_promise(f"{attempt} was told as not run, and ran")
+                self.report_violation(f"{attempt} was reported as not run, but ran")
 
     async def check_routes(self, gateway: Gateway, started: float) -> None:
-        """Wait for the newest routes on one host; then none may be older."""
+        """Wait for the newest routes on one host; it must not revert to older ones."""
         path = f"/v{self.version}/"
-        while trio.current_time() < started + APPLY_LIMIT + QUIET:
+        while trio.current_time() < started + APPLY_LIMIT_S + QUIET_S:
             try:
                 answer = await self.platform.request(gateway, path)
             except (OSError, trio.BrokenResourceError):
@@ -449,37 +477,41 @@
                 break
             await trio.sleep(0.1)
         else:
-            self.break_promise(f"{gateway.name} has not version {self.version}")
+            self.report_violation(
+                f"{gateway.name} did not apply version {self.version}"
+            )
             return
         again = await self.platform.request(gateway, path)
         if again.status == HTTPStatus.NOT_FOUND:
-            self.break_promise(f"{gateway.name} went back behind {self.version}")
+            self.report_violation(
+                f"{gateway.name} reverted to a version before {self.version}"
+            )
 
 
 async def run_seed(seed: int, tally: Tally) -> int:
-    """Play one seed; return the number of requests."""
+    """Run one seed; return the number of requests."""
     with tempfile.TemporaryDirectory() as directory:
         async with open_platform(Path(directory)) as platform:
             proxy = Proxy(target=platform.store_port)
             await platform.nursery.start(proxy.run)
             soak = Soak(seed=seed, platform=platform, proxy=proxy, tally=tally)
             await soak.build()
-            n_before = len(tally.broken)
+            n_before = len(tally.violations)
             async with trio.open_nursery() as callers:
                 for number in range(N_CALLERS):
-                    callers.start_soon(soak.call_for_ever, number)
-                callers.start_soon(soak.repeat_deadly)
-                await soak.disturb()
-                await trio.sleep(QUIET)
+                    callers.start_soon(soak.send_requests, number)
+                callers.start_soon(soak.repeat_crash_request)
+                await soak.inject_faults()
+                await trio.sleep(QUIET_S)
                 await soak.check_end()
                 callers.cancel_scope.cancel()
-            if len(tally.broken) > n_before:
+            if len(tally.violations) > n_before:
                 keep_logs(seed, platform)
             return soak.n_requests
 
 
 def keep_logs(seed: int, platform: Platform) -> None:
-    """Copy the hosts' logs of a seed that broke a promise beside this run."""
+    """Copy the gateways' logs of a failed seed to build/soak-SEED."""
     target = Path("build") / f"soak-{seed}"
     target.mkdir(parents=True, exist_ok=True)
     for gateway in platform.gateways:
@@ -489,16 +521,16 @@
 
 
 def choose_seeds() -> list[int]:
-    """Return the seeds of SOAK_SEEDS, or fresh ones."""
+    """Return the seeds of SOAK_SEEDS, or random ones."""
     text = os.environ.get("SOAK_SEEDS", "")
     if text.strip():
         return [int(seed) for seed in text.split()]
     fresh = Random(time.time_ns())
-    return [fresh.randrange(1, 1_000_000) for _ in range(N_FRESH)]
+    return [fresh.randrange(1, 1_000_000) for _ in range(N_RANDOM_SEEDS)]
 
 
 def main() -> int:
-    """Play the seeds one after the other."""
+    """Run the seeds one after the other; return the exit code."""
     tally = Tally()
     seeds = choose_seeds()
     n_requests = 0
@@ -509,9 +541,9 @@
     n_faults = sum(tally.faults.values())
     print(
         f"seeds={len(seeds)} faults={n_faults} requests={n_requests} "
-        f"broken={len(tally.broken)}"
+        f"broken={len(tally.violations)}"
     )
-    return 1 if tally.broken else 0
+    return 1 if tally.violations else 0
 
 
 if __name__ == "__main__":
