--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,10 +1,10 @@
-"""Reads KNOWN-RED.txt, the list of tests that fail for a fault not mended yet.
+"""Handles KNOWN-RED.txt, the list of tests that fail because of a known fault.
 
 Each line is ``test, cause, issue``; blank lines and lines that start with ``#``
-are skipped. ``options`` checks the list and prints pytest's options that leave just
-these tests out, this file as a plugin; ``report`` runs them, prints each with its
-result, and fails when one passes (its line must go) or does not exist, so that the
-list can only hold true entries.
+are skipped. ``options`` checks the list and prints pytest's options to load this file
+as a plugin that deselects the listed tests. ``report`` runs the listed tests and prints
+their results; it fails if one passes or does not exist, so that outdated entries are
+removed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 LIST = Path("KNOWN-RED.txt")
 
-# More than this and the list would hide the state of the project.
+# Limits how many failures CI may ignore.
 MAX_ENTRIES = 3
 
 PYTEST_TESTS_FAILED = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KnownRed:
-    """One test that is known to fail, why, and the issue that will mend it."""
+    """A test that is known to fail, the cause, and the issue that tracks it."""
 
     test: str
     cause: str
@@ -34,11 +34,14 @@
 
 
 class ListError(Exception):
-    """The list cannot be trusted; the message says which line and why."""
+    """The list is invalid; the message states the line and the reason."""
 
 
 def read_list(text: str) -> tuple[KnownRed, ...]:
-    """Parse the list, refusing a line that misses its test, cause or issue."""
+    """Parse the list.
+
+    Raises `ListError` for an incomplete line or too many entries.
+    """
     entries = []
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip() or line.startswith("#"):
@@ -57,10 +60,10 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Leave out the listed tests, each with all its parameters, and no other.
+    """Deselect exactly the listed tests, each with all its parameters.
 
-    pytest's own --deselect takes a test's name as a prefix: it would leave out
-    `test_stop_twice` along with `test_stop`.
+    pytest's own --deselect matches a prefix: it would deselect `test_stop_twice`
+    along with `test_stop`.
     """
     listed = {entry.test for entry in read_list(LIST.read_text())}
     left_out = [item for item in items if item.nodeid.partition("[")[0] in listed]
@@ -69,7 +72,7 @@
 
 
 def report(entries: tuple[KnownRed, ...]) -> bool:
-    """Run each known red test by itself and tell whether all are still red."""
+    """Run each listed test separately; return whether all still fail."""
     all_red = True
     for entry in entries:
         command = [sys.executable, "-m", "pytest", entry.test]
@@ -84,7 +87,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one of the two commands; the exit code is 0 when all is as listed."""
+    """Run one of the two commands; return the exit code."""
     try:
         entries = read_list(LIST.read_text()) if LIST.exists() else ()
     except ListError as error:
--- a/model/check.py
+++ b/model/check.py
@@ -1,8 +1,8 @@
-"""Checks the specifications in this directory with Spin, exhaustively.
+"""Checks the specifications in this directory exhaustively with Spin.
 
-Each specification must hold as it stands, and must fail in each variant that takes
-a safeguard out or claims that a wanted outcome is never reached. Prints a table and
-ends with 1 if any verdict is not the expected one, with 2 if Spin could not be run.
+Each specification must hold unmodified, and must fail in each variant that removes a
+safeguard or asserts that an expected outcome is unreachable. Prints a table. Exits with
+1 if a verdict is not the expected one, with 2 if Spin could not be run.
 """
 
 import re
@@ -16,29 +16,33 @@
 DIRECTORY = Path(__file__).resolve().parent
 MAX_DEPTH = 1_000_000
 TIMEOUT_S = 120
-N_AT_ONCE = 2
+MAX_CONCURRENT_CHECKS = 2
 
-STORED = re.compile(r"^\s*(\d+) states, stored", re.MULTILINE)
-ERRORS = re.compile(r"errors: (\d+)")
-INCOMPLETE = ("max search depth too small", "Search not completed", "out of memory")
+STORED_PATTERN = re.compile(r"^\s*(\d+) states, stored", re.MULTILINE)
+ERRORS_PATTERN = re.compile(r"errors: (\d+)")
+INCOMPLETE_MARKS = (
+    "max search depth too small",
+    "Search not completed",
+    "out of memory",
+)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Variant:
-    """A specification with one macro defined; without one it must hold."""
+    """A specification with at most one macro defined."""
 
     model: str
     macro: str | None = None
 
     @property
     def expected(self) -> str:
-        """The verdict that this variant must have."""
+        """The expected verdict: "holds" without a macro, else "fails"."""
         return "holds" if self.macro is None else "fails"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """What Spin found. A search that ended early has the verdict "incomplete"."""
+    """The result of a check; "incomplete" means that the search ended early."""
 
     variant: Variant
     n_states: int
@@ -46,20 +50,20 @@
 
     @property
     def is_expected(self) -> bool:
-        """Whether the specification did what it must."""
+        """Whether the verdict is the expected one."""
         return self.found == self.variant.expected
 
 
 def list_variants(model: str) -> list[Variant]:
-    """Return the specification itself, then each macro that its text tests for."""
+    """Return the unmodified specification, then a variant for each of its macros."""
     text = (DIRECTORY / f"{model}.pml").read_text()
     macros = re.findall(r"^#ifn?def (\w+)", text, re.MULTILINE)
-    whole = Variant(model=model)
-    return [whole] + [Variant(model=model, macro=m) for m in dict.fromkeys(macros)]
+    unmodified = Variant(model=model)
+    return [unmodified] + [Variant(model=model, macro=m) for m in dict.fromkeys(macros)]
 
 
 def check(variant: Variant) -> Verdict:
-    """Build and run the verifier of one variant in a directory of its own."""
+    """Build and run the verifier of one variant in a temporary directory."""
     with tempfile.TemporaryDirectory(prefix="model-") as directory:
         source = DIRECTORY / f"{variant.model}.pml"
         macros = [] if variant.macro is None else [f"-D{variant.macro}"]
@@ -70,16 +74,16 @@
 
 
 def read_report(variant: Variant, report: str) -> Verdict:
-    """Return the verdict that a verifier's report gives."""
-    stored = STORED.search(report)
-    errors = ERRORS.search(report)
+    """Parse a verifier's report; raises RuntimeError without a verdict in it."""
+    stored = STORED_PATTERN.search(report)
+    errors = ERRORS_PATTERN.search(report)
     if stored is None or errors is None:
         raise RuntimeError(f"no verdict in the verifier's report:\n{report}")
     if int(errors[1]) > 0:
-        # A deadlock or a bad index is a mistake in the specification, never the
-        # broken promise that a variant is meant to show.
+        # A deadlock or a bad index is a mistake in the specification, not a violation
+        # of the checked property.
         found = "fails" if "assertion violated" in report else "mistaken"
-    elif any(mark in report for mark in INCOMPLETE):
+    elif any(mark in report for mark in INCOMPLETE_MARKS):
         found = "incomplete"
     else:
         found = "holds"
@@ -100,7 +104,7 @@
     models = sorted(path.stem for path in DIRECTORY.glob("*.pml"))
     variants = [variant for model in models for variant in list_variants(model)]
     try:
-        with ThreadPoolExecutor(N_AT_ONCE) as pool:
+        with ThreadPoolExecutor(MAX_CONCURRENT_CHECKS) as pool:
             verdicts = list(pool.map(check, variants))
     except (OSError, RuntimeError, subprocess.TimeoutExpired) as error:
         print(f"model check could not run: {error}", file=sys.stderr)
@@ -108,8 +112,8 @@
     print(f"{'model':<10}{'variant':<30}{'states':>10}  {'verdict':<12}expected")
     for verdict in verdicts:
         variant = verdict.variant
-        name = variant.macro or "(as it stands)"
-        mark = "" if verdict.is_expected else "  <-- NOT AS EXPECTED"
+        name = variant.macro or "(unmodified)"
+        mark = "" if verdict.is_expected else "  <-- UNEXPECTED"
         print(
             f"{variant.model:<10}{name:<30}{verdict.n_states:>10}  "
             f"{verdict.found:<12}{variant.expected}{mark}"
--- a/model/once.pml
+++ b/model/once.pml
@@ -1,25 +1,26 @@
-/* One ticket: its request runs at most once, and "not run" is true for ever.
-
-   What stands for what (coordination/ in the package):
-     Issuer   the one process that may run the request: Issuer.begin, record, end,
-              ask, hand_over. It may pause for any time between two steps, or die.
-     Witness  Witness.open, start, void, end, close; it may drop a record or an
-              issuer (_drop_oldest, _drop_issuer), or die and come back empty.
-     Hosts    any number of entry hosts with their callers, retrying as often as
-              they like: resolve_by_issuer, resolve_by_witness. They keep nothing.
-     Backend  counts the runs. It may run, shed, or die before or after the run.
-
-   Messages are a set that only grows: each message that was ever sent may come at
-   any later time, any number of times, in any order, or never. So losses, delays,
-   duplicates and reordering are all covered. A request on a connection to the
-   backend is the exception: it comes once or never.
-
-   Another ticket of the same issuer enters only by raising the witness's floor over
-   this one, at any time: that is the step "another ticket is dropped".
-
-   Each #ifdef takes out one safeguard, named in model/check.py, and must fail; each
-   REACH_ asserts that an outcome is never told, and must fail too, or the
-   properties would hold of nothing. */
+/* One ticket: its request runs at most once, and "not run" stays true once reported.
+
+   The processes and the code in coordination/ that they model:
+     Issuer   the only process that may run the request: Issuer.begin, record, end,
+              ask, hand_over. It may pause between any two steps, or crash.
+     Witness  Witness.open, start, void, end, close. It may drop a record or an
+              issuer (_drop_oldest, _drop_issuer), or crash and restart without state.
+     Hosts    any number of entry hosts with their callers, which retry any number of
+              times: resolve_by_issuer, resolve_by_witness. They are stateless.
+     Backend  counts the runs. It may run or shed the request, or crash before or
+              after the run.
+
+   Messages form a set that only grows: each message sent may be received at any later
+   time, any number of times, in any order, or never. This covers loss, delay,
+   duplication and reordering. The exception is a request on a connection to the
+   backend, which is received once or never.
+
+   Other tickets of the same issuer are modelled only by their effect on the witness's
+   floor, which may rise above this ticket at any time: "another ticket is dropped".
+
+   Each #ifdef removes one safeguard, and the check of that variant must fail. Each
+   REACH_ variant asserts that an outcome is never reported and must fail, too:
+   otherwise the properties might hold because nothing happens. */
 
 #define NOTHING  0
 #define ANSWERED 1
@@ -30,7 +31,7 @@
 mtype = { no_record, started, voided };
 
 byte runs;                  /* counted by the backend */
-bool told[4];               /* outcomes that some caller was told */
+bool told[4];               /* outcomes reported to some caller */
 bool issuer_dead;
 
 /* The messages sent so far. */
@@ -68,10 +69,10 @@
        is_sent = false }
 #endif
   :: atomic { state == running && !is_sent -> is_sent = true; n_sent++ }
-  :: atomic { state == running && !is_sent -> keep(NOT_RUN) } /* no byte has left */
+  :: atomic { state == running && !is_sent -> keep(NOT_RUN) }     /* no byte sent */
   :: atomic { state == running && backend_said[ANSWERED] -> keep(ANSWERED) }
   :: atomic { state == running && backend_said[NOT_RUN] -> keep(NOT_RUN) }
-  :: atomic { state == running && is_sent -> keep(UNKNOWN) }    /* answer not seen */
+  :: atomic { state == running && is_sent -> keep(UNKNOWN) }      /* no answer yet */
   :: atomic { outcome == UNKNOWN && backend_said[ANSWERED] -> keep(ANSWERED) }
   :: atomic { outcome == UNKNOWN && backend_said[NOT_RUN] -> keep(NOT_RUN) }
   :: atomic { state == ended -> issuer_said[outcome] = true }  /* begin again, ask */
@@ -93,9 +94,9 @@
   :: atomic { n_handled < n_sent -> n_handled++;
        if
        :: runs++; backend_said[ANSWERED] = true
-       :: runs++                                   /* dies, or the answer is lost */
+       :: runs++                                 /* crash, or answer lost */
        :: backend_said[NOT_RUN] = true                                   /* sheds */
-       :: skip                                              /* dies before the run */
+       :: skip                                              /* crash before the run */
        fi }
   od
 }
@@ -190,7 +191,7 @@
 active proctype Hosts() {
 end:
   do
-  :: void_asked = true                                 /* the issuer gave no answer */
+  :: void_asked = true                                 /* no answer from the issuer */
   :: issuer_said[ANSWERED] -> told[ANSWERED] = true
   :: issuer_said[NOT_RUN] -> told[NOT_RUN] = true
   :: issuer_said[UNKNOWN] -> told[UNKNOWN] = true
@@ -203,7 +204,7 @@
   od
 }
 
-/* Can take a step only where a promise is broken. */
+/* Can take a step only when a property is violated. */
 active proctype Promises() {
 end:
   if
--- a/model/settings.pml
+++ b/model/settings.pml
@@ -1,27 +1,27 @@
 /* Settings never revert, and an accepted edit is never lost.
 
-   What stands for what:
-     Authority  the platform's object of settings and its conditional update.
+   The processes and the code that they model:
+     Authority  the platform's settings object with its conditional update.
      Operators  commands/publishing.py, each with up to N_TRIES edits: _read_base,
-                put, _resolve, _judge. Both race; each may leave at any time.
+                put, _resolve, _judge. The two race; each may give up at any time.
      Hosts      entry/documents.py and coordination/documents.py (Documents.offer);
-                each may restart once, and pauses are steps that wait. What holds of
-                a restarted one holds of each life, since it keeps nothing.
+                each may restart once. Pauses are modelled as steps taken later. One
+                restart covers any number, as a host keeps no state across it.
 
-   A write may take effect at any later time, again and again, and its reply may be
-   lost or late. A read may give any version that ever was: the newest, or a stale
-   one. What a host says may come to another at any later time, or never.
+   A write may take effect at any later time and more than once, and its reply may be
+   lost or late. A read may return any past version or the newest. A host's message may
+   reach another host at any later time, or never.
 
-   What holds of hosts: between two restarts the version in force never goes down. A
-   restarted host starts with the file (version 0), not ready. It becomes ready upon
-   an answer from the platform, as stale as reads are; or upon a peer's answer to a
-   question of its present life, and then it is at least as new as that peer was when
-   this host restarted, unless that peer has restarted since. (Such an answer comes
-   over a connection of the present life, so the step takes it at once.) How fast an edit comes
-   in force everywhere is measured, not modelled.
+   Properties of hosts: between two restarts, the version in force never decreases. A
+   restarted host begins with the file (version 0) and is not ready. It becomes ready
+   either by an answer from the platform, which may be stale; or by a peer's answer to
+   a request sent since the restart. In that case its version is at least the peer's
+   version at the time of the restart, unless the peer has restarted since. (Such an
+   answer arrives on a connection opened since the restart, so the model takes it at
+   once.) The time until an edit is in force everywhere is not modelled.
 
-   Each #ifdef takes out one safeguard or, REACH_, claims that something wanted never
-   happens; each must fail. */
+   Each #ifdef removes one safeguard or, as REACH_, asserts that an expected event
+   never happens; the check of each variant must fail. */
 
 #define N_OPERATORS 2
 #define N_TRIES 2
@@ -29,16 +29,16 @@
 #define N_HOSTS 2
 #define BIT(edit) (1 << (edit))
 
-/* The authority: the edits that each version holds. */
+/* The authority: the edits that each version contains. */
 byte head;
 byte edits_at[5];
-byte stored;                               /* edits that ever took effect */
+byte stored;                               /* edits that took effect */
 
 /* The writes sent, and the replies to them. */
 bool put_sent[N_EDITS], stored_said[N_EDITS], conflict_said[N_EDITS];
 byte base[N_EDITS];
 
-/* What the operators were told of their edits. */
+/* The results of edits reported to the operators. */
 byte told_accepted, told_refused;
 
 active proctype Authority() {
@@ -103,8 +103,9 @@
   od
 }
 
-/* The hosts. newest_said is the greatest version that a host ever had in force, in
-   any life: any version up to it may still be on its way in a datagram. */
+/* The hosts. newest_said is the greatest version that a host ever had in force,
+   across restarts: any version up to it may still arrive in a datagram. owed is the
+   peer's version when the host restarted, or 0. */
 byte in_force[N_HOSTS], newest_said[N_HOSTS], owed[N_HOSTS];
 bool is_ready[N_HOSTS], has_restarted[N_HOSTS];
 bool went_down, was_behind;
@@ -153,7 +154,7 @@
   od
 }
 
-/* Can take a step only where a promise is broken. */
+/* Can take a step only when a property is violated. */
 active proctype Promises() {
 end:
   if
