--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page holds what the saved figures say, and nothing else."""
+"""Tests that the capacity page is up to date with the saved figures."""
 
 import shutil
 
@@ -13,7 +13,7 @@
 
 
 class TestPage:
-    """docs/CAPACITY.md as it stands in the tree."""
+    """docs/CAPACITY.md and its plot, as committed."""
 
     def test_tables_agree_with_the_saved_figures(self):
         text = PAGE.read_text()
@@ -22,7 +22,7 @@
     def test_no_table_is_left_out(self):
         assert find_missing(PAGE.read_text()) == set()
 
-    def test_the_plot_is_of_the_saved_figures(self):
+    def test_plot_agrees_with_the_saved_figures(self):
         assert digest_points(FigureStore()) in PLOT.read_text(), "run `make capacity`"
 
     def test_a_changed_figure_changes_the_page(self, tmp_path):
@@ -38,18 +38,18 @@
 
 
 class TestWithoutFigures:
-    """A measurement that was never run."""
+    """Tables without the figures of any run."""
 
     @pytest.mark.parametrize("name", sorted(TABLES))
     def test_every_table_can_be_made(self, name, tmp_path):
         assert TABLES[name](FigureStore(directory=tmp_path)).startswith("| ")
 
-    def test_what_is_worked_out_from_it_is_said_not_to_be_measured(self, tmp_path):
+    def test_values_without_figures_are_shown_as_not_measured(self, tmp_path):
         rows = TABLES["slopes"](FigureStore(directory=tmp_path)).splitlines()[2:]
         assert len(rows) == len(PARTS)
         assert all(row.endswith("| not measured |") for row in rows)
 
-    def test_a_sum_says_that_a_part_is_missing(self, tmp_path):
+    def test_incomplete_sum_is_labelled_as_such(self, tmp_path):
         points = {"hop_us_at_1": 200.0, "hop_us_at_85": 2_000.0}
         save_figures(make_figures("parts", points), directory=tmp_path)
         table = TABLES["queries"](FigureStore(directory=tmp_path))
@@ -58,29 +58,29 @@
 
 
 class TestLine:
-    """The line through measured points."""
+    """Fitting a line through measured points."""
 
     def test_a_point_off_the_line_shows_as_error(self):
         assert fit_line({1: 1.0, 2: 2.0, 3: 3.0}).error == pytest.approx(0.0)
         assert fit_line({1: 1.0, 2: 4.0, 3: 3.0}).error > 0.2
 
-    def test_small_points_weigh_as_much_as_large_ones(self):
+    def test_fit_minimizes_relative_deviations(self):
         line = fit_line({1: 240.0, 5: 370.0, 20: 750.0, 85: 2_100.0})
         assert line.compute(1) == pytest.approx(240.0, rel=0.1)
 
-    def test_owners_of_a_query_are_what_drawing_gives(self):
-        # 85 of 550 without any two alike would be 85; a few are.
+    def test_owners_per_query_assume_independent_hashing(self):
+        # Fewer than the 85 shards of a query, as some shards share an owner.
         assert pytest.approx(78.8, abs=0.1) == OWNERS_PER_QUERY
 
 
 class TestParts:
-    """The measurement of single parts."""
+    """Helpers of the measurement of single parts."""
 
-    def test_points_are_named_by_their_size(self):
+    def test_points_are_keyed_by_size(self):
         points = measure_points({1: lambda: None, 5: lambda: None}, n_rounds=2)
         assert set(points) == {1, 5}
         assert all(spent >= 0 for spent in points.values())
 
     @pytest.mark.parametrize("make", [make_search, make_answers])
-    def test_the_measured_messages_are_ones_that_hosts_understand(self, make):
+    def test_measured_messages_can_be_encoded_and_decoded(self, make):
         pass_through_codec(make(85))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of known red tests, which CI passes over."""
+"""Tests that CI ignores exactly the failures listed in KNOWN-RED.txt."""
 
 import importlib.util
 import os
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def known_red(monkeypatch, tmp_path):
-    """Load the script of CI, which belongs to no package, in an empty directory."""
+    """Import the CI script by path and change to an empty directory."""
     spec = importlib.util.spec_from_file_location("known_red", SCRIPT)
     assert spec is not None
     assert spec.loader is not None
@@ -29,13 +29,15 @@
 
 
 class TestOptions:
-    def test_without_a_list_nothing_is_passed_over(self, known_red, capsys):
+    def test_without_a_list_nothing_is_deselected(self, known_red, capsys):
         assert known_red.main(["options"]) == 0
         assert capsys.readouterr().out.strip() == ""
 
-    def test_just_the_listed_test_with_its_parameters(self, known_red, capsys):
-        # pytest's --deselect=test_b would hide test_b_more, too, and CI would pass
-        # over a failure that nobody has listed.
+    def test_only_the_listed_test_is_deselected_with_its_parameters(
+        self, known_red, capsys
+    ):
+        # pytest's --deselect=test_b also matches test_b_more: CI would ignore a failure
+        # that is not listed.
         Path("test_a.py").write_text(
             "import pytest\n"
             "@pytest.mark.parametrize('n', [1, 2])\n"
@@ -61,20 +63,22 @@
             "".join(f"tests/a.py::A::t{n}, cause, issue 4\n" for n in range(4)),
         ],
     )
-    def test_a_list_that_hides_more_is_refused(self, known_red, text):
+    def test_incomplete_or_too_long_list_is_refused(self, known_red, text):
         write(text)
         assert known_red.main(["options"]) != 0
 
 
 class TestReport:
-    def test_red_ones_are_printed_and_pass(self, known_red, capsys):
+    def test_listed_tests_that_fail_are_printed(self, known_red, capsys):
         Path("test_a.py").write_text("def test_b():\n    assert False\n")
         write("test_a.py::test_b, a known fault, issue 4\n")
         assert known_red.main(["report"]) == 0
         assert "KNOWN RED: test_a.py::test_b: a known fault" in capsys.readouterr().out
 
     @pytest.mark.parametrize("body", ["pass", None])
-    def test_one_that_passes_or_is_gone_must_leave_the_list(self, known_red, body):
+    def test_entry_that_passes_or_does_not_exist_fails_the_report(
+        self, known_red, body
+    ):
         if body:
             Path("test_a.py").write_text(f"def test_b():\n    {body}\n")
         write("test_a.py::test_b, a known fault, issue 4\n")
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests that there are."""
+"""Tests that docs/PROOFS.md refers only to existing tests."""
 
 import ast
 import re
@@ -8,7 +8,7 @@
 
 TESTS = Path(__file__).parent
 PAGE = TESTS.parent / "docs" / "PROOFS.md"
-NAMED = re.compile(r"\b(test_\w+\.py)::(\w+)::(test_\w+)")
+TEST_REFERENCE = re.compile(r"\b(test_\w+\.py)::(\w+)::(test_\w+)")
 
 
 def list_tests(file):
@@ -23,16 +23,21 @@
 
 
 class TestPage:
-    """docs/PROOFS.md."""
+    """References to tests in docs/PROOFS.md."""
 
     @pytest.mark.parametrize(
-        "file", sorted({file for file, _, _ in NAMED.findall(PAGE.read_text())})
+        "file",
+        sorted({file for file, _, _ in TEST_REFERENCE.findall(PAGE.read_text())}),
     )
-    def test_every_test_that_it_names_exists(self, file):
-        named = {(c, t) for f, c, t in NAMED.findall(PAGE.read_text()) if f == file}
+    def test_every_named_test_exists(self, file):
+        named = {
+            (c, t) for f, c, t in TEST_REFERENCE.findall(PAGE.read_text()) if f == file
+        }
         assert named - list_tests(file) == set()
 
     def test_every_promise_has_proofs(self):
         parts = PAGE.read_text().split("\n## ")[1:]
-        counts = {part.splitlines()[0]: len(NAMED.findall(part)) for part in parts}
+        counts = {
+            part.splitlines()[0]: len(TEST_REFERENCE.findall(part)) for part in parts
+        }
         assert {title for title, n in counts.items() if n == 0} == {"Not proved"}
