--- a/lab/bookers.py
+++ b/lab/bookers.py
@@ -18,7 +18,7 @@
 RETRY_PAUSE_S = 0.25
 MAX_TICKETS = 3
 MAX_TRIES = 8
-JSON = {"Content-Type": "application/json"}
+JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class Ending(StrEnum):
@@ -149,7 +149,7 @@
     async def _send_with_ticket(
         self, ticket: str, request_id: str, booking: Booking
     ) -> Ending:
-        headers = {**JSON, "Ticket": ticket, "Deadline-Ms": str(DEADLINE_MS)}
+        headers = {**JSON_HEADERS, "Ticket": ticket, "Deadline-Ms": str(DEADLINE_MS)}
         headers["Request-Id"] = request_id
         body = msgspec.json.encode({"query": request_id})
         ending = Ending.NO_ANSWER
@@ -199,7 +199,12 @@
         body = msgspec.json.encode({"query": booking.name})
         for _ in range(MAX_TRIES):
             answer = await call(
-                self._choose(), "POST", "/", headers=JSON, body=body, limit=CALL_LIMIT_S
+                self._choose(),
+                "POST",
+                "/",
+                headers=JSON_HEADERS,
+                body=body,
+                limit=CALL_LIMIT_S,
             )
             if answer is not None and answer.status == 200:
                 booking.told_answered.append(booking.name)
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -169,9 +169,9 @@
         }
 
     def agree(self) -> bool:
-        """Return whether every running process considers exactly these hosts live:
+        """Return whether all running processes agree on the live hosts.
 
-        the hosts whose processes run and may own groups.
+        Each must consider exactly the hosts live whose processes may own groups.
         """
         live = frozenset(
             name for name, node in self.nodes.items() if node.membership.own.may_own
--- a/lab/oncefaults.py
+++ b/lab/oncefaults.py
@@ -73,7 +73,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class FaultWindow:
-    """When a fault was active; `ended` is infinite until then.
+    """When a fault was active; `ended` is infinite until its end.
 
     `affected` is the name of a host or server, or "platform".
     """
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -307,7 +307,8 @@
         self.directory = directory
         self.running: list[Running] = []
         # Not len(running), which grows only once a process has started: two concurrent
-        # starts would share output files, and one would be ready by the other's output.
+        # starts would share output files, and one would count as ready when the other
+        # prints it.
         self._numbers = itertools.count()
 
     async def start(
--- a/lab/querytables.py
+++ b/lab/querytables.py
@@ -62,17 +62,17 @@
     for n_owners in (OWNERS_PER_QUERY, 20.0, 9.0, 1.0):
         n_shards = SHARDS_PER_QUERY / n_owners
         hop_us = compute_hop_us(store, n_shards)
-        hops = multiply(QUERIES_PER_S_PER_HOST * n_owners, hop_us, S_PER_US)
-        each_us = multiply(hops, 1 / CALLS_PER_S_PER_HOST / S_PER_US)
-        total = add(hops, multiply(CALLS_PER_S_PER_HOST, leaf_us, S_PER_US))
+        hop_cores = multiply(QUERIES_PER_S_PER_HOST * n_owners, hop_us, S_PER_US)
+        hop_us_per_call = multiply(hop_cores, 1 / CALLS_PER_S_PER_HOST / S_PER_US)
+        total_cores = add(hop_cores, multiply(CALLS_PER_S_PER_HOST, leaf_us, S_PER_US))
         rows.append(
             (
                 show(n_owners),
                 show(n_shards),
                 show(hop_us, "us"),
-                show(each_us, "us"),
-                show(hops),
-                show(total),
+                show(hop_us_per_call, "us"),
+                show(hop_cores),
+                show(total_cores),
             )
         )
     headers = (
@@ -91,21 +91,21 @@
 
 def make_steps_table(store: FigureStore) -> str:
     """Return the cores that a host would need after each cumulative improvement."""
-    today = _add_up(list_query_parts(store, OWNERS_PER_QUERY))
-    bundled = _add_up(list_query_parts(store, N_BUNDLED_OWNERS))
+    today = _sum_cores(list_query_parts(store, OWNERS_PER_QUERY))
+    bundled = _sum_cores(list_query_parts(store, N_BUNDLED_OWNERS))
     saved_us = add(
         compute_leaf_us(store), multiply(-1, store.get("fanout", "h11_trial_us_at_85"))
     )
-    by_h11 = add(bundled, multiply(-1, saved_us, CALLS_PER_S_PER_HOST, S_PER_US))
+    with_h11 = add(bundled, multiply(-1, saved_us, CALLS_PER_S_PER_HOST, S_PER_US))
     rows = [
         ("today", show(today)),
         (f"a query has {N_BUNDLED_OWNERS:.0f} owners", show(bundled)),
-        ("and h11 alone for leaf calls", show(by_h11)),
+        ("and h11 alone for leaf calls", show(with_h11)),
     ]
     return make_table("step", "cores of a host", rows=iter(rows))
 
 
-def _add_up(parts: list[tuple[str, float, float | None]]) -> float | None:
+def _sum_cores(parts: list[tuple[str, float, float | None]]) -> float | None:
     return add(*(multiply(rate, cost_us, S_PER_US) for _, rate, cost_us in parts))
 
 
--- a/lab/reading.py
+++ b/lab/reading.py
@@ -87,18 +87,19 @@
         resolved = encode_settings(settings)
         value = SettingsObject(text=text, resolved=resolve_text(text, settings))
         stored = encode_settings_object(value)
-        only_json_s = measure(partial(parse_text, text, file="large"))
-        whole_s = measure(partial(parse_settings, text, file="large"))
+        parse_text_s = measure(partial(parse_text, text, file="large"))
+        parse_settings_s = measure(partial(parse_settings, text, file="large"))
         object_s = measure(partial(read_object, stored))
         decode_s = measure(partial(decode_settings, resolved))
         print(
             f"{n_servers:7} {len(text) / 1e3:7.1f} {len(stored) / 1e3:9.1f} "
-            f"{only_json_s:7.4f} {whole_s:7.4f} {object_s:8.4f} {decode_s:8.4f} "
+            f"{parse_text_s:7.4f} {parse_settings_s:7.4f} "
+            f"{object_s:8.4f} {decode_s:8.4f} "
             f"{len(resolved) / 1e3:11.1f}"
         )
         if n_servers == 3_000:
             summary_line = (
-                f"read_share={whole_s * EDITS_PER_S:.5f} "
+                f"read_share={parse_settings_s * EDITS_PER_S:.5f} "
                 f"object_share={object_s * EDITS_PER_S:.5f} "
                 f"decode_share={decode_s * EDITS_PER_S:.5f} "
                 f"bytes_per_s={len(resolved) * EDITS_PER_S:.0f}"
--- a/lab/serverends.py
+++ b/lab/serverends.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Case:
-    """Time that a server works on a search, and until it crashes on the other one.
+    """Time that a server works on a search, and until the crash request ends it.
 
     `goal_ms` is the latency goal of the route, which hedging is based on.
     """
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -42,9 +42,11 @@
     total = sum(weights.values())
     mean_x = sum(weights[x] * x for x in points) / total
     mean_y = sum(weights[x] * y for x, y in points.items()) / total
-    square = sum(weights[x] * (x - mean_x) ** 2 for x in points)
-    product = sum(weights[x] * (x - mean_x) * (y - mean_y) for x, y in points.items())
-    slope = product / square
+    sum_squares = sum(weights[x] * (x - mean_x) ** 2 for x in points)
+    sum_products = sum(
+        weights[x] * (x - mean_x) * (y - mean_y) for x, y in points.items()
+    )
+    slope = sum_products / sum_squares
     intercept = mean_y - slope * mean_x
     error = max(abs(intercept + slope * x - y) / y for x, y in points.items())
     return Slope(points=points, slope=slope, intercept=intercept, error=error)
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -50,8 +50,8 @@
 # A change must be in force within 3 s of its acceptance on hosts that reach the store;
 # one second more is allowed for a busy machine.
 APPLY_LIMIT_S = 4.0
-# Time without faults before the final checks. Bounds on the time of a change are not
-# checked for as long after a fault of the store or of a host.
+# Time without faults before the final checks. For as long after a fault of the store
+# or of a host, late calls are not counted as violations.
 QUIET_S = 4.5
 # One caller repeats a search that crashes each server that starts to run it.
 CRASH_PATH = "/all/deadly"
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -160,9 +160,9 @@
 def make_failures_table(store: FigureStore) -> str:
     """Return the cost of the planned failures for the remaining hosts."""
     rank_us = store.compute("parts", "rank_join_by_groups_us", N_LEAFS)
-    left = N_HOSTS * (1 - 1 / N_DATA_CENTRES)
-    region = N_HOSTS / N_REGIONS
-    groups = N_LEAFS / region
+    n_hosts_left = N_HOSTS * (1 - 1 / N_DATA_CENTRES)
+    hosts_per_region = N_HOSTS / N_REGIONS
+    groups_per_host = N_LEAFS / hosts_per_region
     rows = [
         (
             "a restart, one in 127 s",
@@ -172,13 +172,14 @@
         (
             f"a data centre, {N_HOSTS // N_DATA_CENTRES} hosts",
             f"{show(N_LEAFS / N_DATA_CENTRES)} groups move; "
-            f"{show(N_LEAFS / left)} a host after it",
-            f"{show(QUERIES_PER_S / left)} queries a second a host, "
-            f"{show(N_HOSTS / left)} times as many",
+            f"{show(N_LEAFS / n_hosts_left)} a host after it",
+            f"{show(QUERIES_PER_S / n_hosts_left)} queries a second a host, "
+            f"{show(N_HOSTS / n_hosts_left)} times as many",
         ),
         (
             "regions parted for an hour",
-            f"each region owns all groups that it reaches: {show(groups)} a host",
+            "each region owns all groups that it reaches: "
+            f"{show(groups_per_host)} a host",
             f"up to {N_REGIONS} owners of a group, so {N_REGIONS} times its slots are "
             "asked for; it sheds the rest",
         ),
