--- a/src/lavendergap/transport/acceptor.py
+++ b/src/lavendergap/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts channels of peers, and closes what is none."""
+"""Accepts channels from peers and closes all other connections."""
 
 from collections.abc import Callable
 
@@ -8,9 +8,9 @@
 from ..protocol.messages import Frame, GoingAway, Hello
 from .channel import Channel, Loss
 
-HELLO_LIMIT = 2.0
-# Far more than the fleet has hosts; beyond it somebody else is at the port.
-MAX_ACCEPTED = 2_000
+HELLO_TIMEOUT_S = 2.0
+# Far more than a fleet has hosts; further connections cannot be peers.
+MAX_CHANNELS = 2_000
 
 
 class Acceptor:
@@ -25,7 +25,7 @@
     ) -> None:
         self._own = own
         self._handle = handle
-        self._tell_lost = lose
+        self._on_lost = lose
         self._channels: set[Channel] = set()
 
     async def serve(self, listener: trio.SocketListener) -> None:
@@ -35,10 +35,10 @@
     async def serve_stream(self, stream: trio.abc.Stream) -> None:
         """Serve one accepted connection until it ends.
 
-        Who has not said a valid Hello within `HELLO_LIMIT` seconds is no peer of
-        ours, and would hold memory for nothing.
+        A connection without a valid Hello within `HELLO_TIMEOUT_S` seconds is not
+        from a peer, and is closed to free its memory.
         """
-        if len(self._channels) >= MAX_ACCEPTED:
+        if len(self._channels) >= MAX_CHANNELS:
             metrics.rejected_input.labels("peers", "too many channels").inc()
             await trio.aclose_forcefully(stream)
             return
@@ -51,22 +51,22 @@
         self._channels.add(channel)
         channel.send(Frame(id=0, message=self._own))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_close_unless_greeted, channel)
+            nursery.start_soon(_close_without_hello, channel)
             await channel.run()
             nursery.cancel_scope.cancel()
 
     def _drop(self, channel: Channel, loss: Loss) -> None:
         self._channels.discard(channel)
-        self._tell_lost(channel)
+        self._on_lost(channel)
 
     def announce_leaving(self) -> None:
-        """Tell every peer that this process is stopping."""
+        """Send GoingAway to every peer, since this process is stopping."""
         for channel in self._channels:
             channel.send(Frame(id=0, message=GoingAway()))
 
 
-async def _close_unless_greeted(channel: Channel) -> None:
-    with trio.move_on_after(HELLO_LIMIT):
+async def _close_without_hello(channel: Channel) -> None:
+    with trio.move_on_after(HELLO_TIMEOUT_S):
         await channel.greeted.wait()
         return
     metrics.rejected_input.labels("peers", "no hello").inc()
--- a/src/lavendergap/transport/admin.py
+++ b/src/lavendergap/transport/admin.py
@@ -1,4 +1,4 @@
-"""The HTTP port for operators and the balancer: metrics, health, status."""
+"""The HTTP port for operators and the load balancer: metrics, health, status."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -10,14 +10,17 @@
 
 
 class ReadyBody(msgspec.Struct):
-    """Whether the balancer may send callers here, and if not, why."""
+    """Whether the load balancer may send requests to this host, and if not, why."""
 
     ready: bool
     reason: str
 
 
 class AdminApp:
-    """An ASGI application; `get_unready` returns why not, or "" when ready."""
+    """An ASGI application.
+
+    `get_unready` returns why the host is not ready, or "" when it is ready.
+    """
 
     def __init__(
         self,
--- a/src/lavendergap/transport/backend.py
+++ b/src/lavendergap/transport/backend.py
@@ -1,8 +1,8 @@
-"""Connections to one backend server: opened, reused, accounted for and distrusted.
+"""Connections to one backend server.
 
-Each connection is a single `httpcore.AsyncHTTP11Connection` held here by accounting
-of our own; a pool shared by all servers spends more on its bookkeeping with each
-connection that it holds (see docs/design/connections.md).
+Each connection is a single `httpcore.AsyncHTTP11Connection`, pooled by this module.
+The bookkeeping of a pool shared by all servers costs more with each connection that
+it holds (see docs/design/connections.md).
 """
 
 from collections.abc import AsyncIterable
@@ -31,21 +31,23 @@
 logger = get_logger(Category.CONNECTIONS)
 
 MAX_ANSWER_BYTES = 1024 * 1024
-PROBE_LIMIT = 0.5
-# A request that must not run twice is sent only on a connection that carried an
-# answer this recently, since on a stale one it would end as unknown.
-TRUSTED_IDLE = 1.0
-# Of the time left, what a read gets on a reused connection: one that carried an answer
-# within the time above, and any other. Slow servers get some typical calls' time.
-PROVED_SHARE = 0.75
-UNPROVED_SHARE = 0.5
-N_TYPICAL = 3.0
-TYPICAL_GAIN = 0.1
+PROBE_TIMEOUT_S = 0.5
+# A request that must not run twice reuses only a connection that carried an answer
+# this recently: on a stale connection its outcome would be unknown.
+MAX_TRUSTED_IDLE_S = 1.0
+# The share of the time left that a read gets on a reused connection: one that carried
+# an answer within MAX_TRUSTED_IDLE_S, and any other.
+TRUSTED_TIMEOUT_SHARE = 0.75
+UNTRUSTED_TIMEOUT_SHARE = 0.5
+# A read on a reused connection gets at least this multiple of the server's mean
+# latency, so that a slow server is not taken for a silent connection.
+MIN_TIMEOUT_FACTOR = 3.0
+LATENCY_SMOOTHING_FACTOR = 0.1  # weight of the newest call in the moving average
 
 
 @dataclass(slots=True, kw_only=True)
 class Connection:
-    """An open connection and when it last carried a whole answer."""
+    """An open connection and when it last carried a complete answer."""
 
     http: httpcore.AsyncHTTP11Connection
     stream: RequestStream
@@ -56,7 +58,7 @@
 
 
 class HealthBody(msgspec.Struct):
-    """What GET /health answers."""
+    """The body of the answer to GET /health."""
 
     state: ServerState
     index_versions: list[Version] = []
@@ -65,14 +67,14 @@
 class BackendClient:
     """All connections of this process to one backend server.
 
-    `call` never raises for what the server or the network does; it returns a
-    `Verdict`. `idle_limit` is how long, in seconds, an idle connection is kept.
+    `call` raises nothing for a failure of the server or the network; it returns a
+    `Verdict`. `idle_limit` is how long an idle connection is kept, in seconds.
     """
 
     def __init__(self, *, server: Server, idle_limit: float) -> None:
         self.server = server
         self.n_open = 0
-        self._typical = 0.0
+        self._mean_latency_s = 0.0
         self._idle_limit = idle_limit
         self._idle: list[Connection] = []
         self._origin = httpcore.Origin(
@@ -94,24 +96,24 @@
     async def call(self, call: Call, *, attempt: bytes, fresh: bool) -> Verdict:
         """Make one attempt at `call`, within its deadline.
 
-        A read on a reused connection gets a part of the time left: something between
-        the ends may have lost track of it, and then nothing ever arrives. The rest
-        remains for a retry over a fresh one.
+        A read on a reused connection gets a share of the time left. If a middlebox
+        has dropped the connection's state, no answer will arrive, and the rest of
+        the time is needed for a retry over a new connection.
         """
         now = trio.current_time()
         left = call.deadline - now
         if left <= 0:
-            return self._refuse(Step.QUEUE, Reason.DEADLINE)
+            return self._make_refusal(Step.QUEUE, Reason.DEADLINE)
         connection = None if fresh else self._take_idle(call, now=now)
         if connection is None and not self._reserve():
-            return self._refuse(Step.CONNECT, Reason.OVERLOADED)
+            return self._make_refusal(Step.CONNECT, Reason.OVERLOADED)
         headers = build_headers(
             call, attempt=attempt, host=self._host, left_ms=max(1, int(left * 1_000))
         )
         url = self._search if call.idempotent else self._run
         limit = left
         if connection is not None and call.idempotent:
-            limit = self._limit_reused(connection, left=left, now=now)
+            limit = self._compute_timeout(connection, left=left, now=now)
         result = await self._exchange(
             connection,
             b"POST",
@@ -123,45 +125,48 @@
         )
         if isinstance(result, Reply):
             elapsed = trio.current_time() - now
-            self._typical += TYPICAL_GAIN * (elapsed - self._typical)
+            self._mean_latency_s += LATENCY_SMOOTHING_FACTOR * (
+                elapsed - self._mean_latency_s
+            )
             return judge_reply(result, call, attempt=attempt, server=self.server.name)
         return Verdict(outcome=result, report=None)
 
-    def _limit_reused(
+    def _compute_timeout(
         self, connection: Connection, *, left: float, now: float
     ) -> float:
-        """Return how long a read may take on a connection that may be silent.
+        """Return the timeout in seconds of a read on a reused connection.
 
-        The rest of its time is for a retry over a fresh one. A connection that
-        carried an answer a moment ago is less likely to be silent than its server
-        to be slow: cut at half of the time, ordinary stragglers were taken for
-        silence, and with each all idle connections of their server were closed.
+        The rest of the time left is for a retry over a new connection. After a
+        recent answer, a slow server is more likely than a silent connection. A
+        timeout that is too short would treat slow answers as silent connections and
+        close all idle connections of their server.
         """
-        is_proved = now - connection.answered_at <= TRUSTED_IDLE
-        share = PROVED_SHARE if is_proved else UNPROVED_SHARE
-        return min(left, max(share * left, N_TYPICAL * self._typical))
+        is_trusted = now - connection.answered_at <= MAX_TRUSTED_IDLE_S
+        share = TRUSTED_TIMEOUT_SHARE if is_trusted else UNTRUSTED_TIMEOUT_SHARE
+        return min(left, max(share * left, MIN_TIMEOUT_FACTOR * self._mean_latency_s))
 
     async def probe(self) -> ServerReport | None:
-        """Ask the health endpoint over a fresh connection; None without an answer.
+        """Query the health endpoint over a new connection; None without an answer.
 
-        Fresh, so that a silent old connection is not mistaken for a silent server.
+        On a reused connection, a silent connection could not be told from a server
+        that does not answer.
         """
         if not self._reserve():
             return None
         headers = [(b"Host", self._host), (b"Connection", b"close")]
         result = await self._exchange(
-            None, b"GET", self._health, headers, b"", limit=PROBE_LIMIT
+            None, b"GET", self._health, headers, b"", limit=PROBE_TIMEOUT_S
         )
         if not isinstance(result, Reply) or result.status != 200:
             return None
-        return _read_health(result.body)
+        return _parse_health(result.body)
 
-    def _refuse(self, step: Step, reason: Reason) -> Verdict:
+    def _make_refusal(self, step: Step, reason: Reason) -> Verdict:
         outcome = NotRun(step=step, peer=self.server.name, reason=reason)
         return Verdict(outcome=outcome, report=None)
 
     def _reserve(self) -> bool:
-        """Count a connection to be opened, unless the server's limit is reached."""
+        """Reserve a connection; return False if the server's limit is reached."""
         if self.n_open >= self.server.connections:
             return False
         self.n_open += 1
@@ -181,11 +186,11 @@
         return Connection(http=http, stream=stream, answered_at=trio.current_time())
 
     def _take_idle(self, call: Call, *, now: float) -> Connection | None:
-        """Return the connection that answered last, if it may be trusted."""
+        """Return the connection that answered last, if it may be reused for `call`."""
         if not self._idle:
             return None
         newest = self._idle[-1]
-        if not call.idempotent and now - newest.answered_at > TRUSTED_IDLE:
+        if not call.idempotent and now - newest.answered_at > MAX_TRUSTED_IDLE_S:
             return None
         if now - newest.answered_at > self._idle_limit or newest.http.has_expired():
             return None
@@ -202,7 +207,7 @@
         limit: float,
         attempt: bytes = b"",
     ) -> Reply | Outcome:
-        """Send one request over `idle`, or over a new connection that is reserved."""
+        """Send one request over `idle`, or over a new connection already reserved."""
         request = httpcore.Request(method, url, headers=headers, content=body)
         connection = idle
         reusable = False
@@ -212,20 +217,20 @@
                     connection = await self._open()
                 connection.stream.begin()
                 reply = await _receive(connection.http, request)
-                # An answer to another attempt shows that the answers on this
-                # connection are off by one: so would be all that follow.
+                # An answer to another attempt means that the answers on this
+                # connection are off by one, as all later ones would be.
                 reusable = reply.headers.get(b"attempt", attempt) == attempt
                 return reply
-            return self._judge_silence(connection, reused=idle is not None)
+            return self._classify_timeout(connection, reused=idle is not None)
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            return self._judge_loss(connection)
+            return self._classify_loss(connection)
         finally:
             if connection is None:
                 self._release()
             else:
-                self._put_back(connection, reusable=reusable)
+                self._recycle_or_close(connection, reusable=reusable)
 
-    def _judge_loss(self, connection: Connection | None) -> Outcome:
+    def _classify_loss(self, connection: Connection | None) -> Outcome:
         peer = self.server.name
         if connection is None:
             reason = Reason.REFUSED_CONNECTION
@@ -233,11 +238,11 @@
         reason = Reason.LOST_CONNECTION
         if connection.stream.n_sent == 0:
             return NotRun(step=Step.SEND, peer=peer, reason=reason)
-        # Once a byte may have left nothing is known, even when the server closed an
-        # idle connection in that same moment.
+        # Once a byte may have been sent, the request may have run, even if the
+        # server closed an idle connection at the same moment.
         return Unknown(step=Step.RECEIVE, peer=peer, reason=reason)
 
-    def _judge_silence(
+    def _classify_timeout(
         self, connection: Connection | None, *, reused: bool
     ) -> NotRun | Unknown:
         peer = self.server.name
@@ -246,8 +251,8 @@
             return NotRun(step=Step.CONNECT, peer=peer, reason=reason)
         if not reused:
             return Unknown(step=Step.RECEIVE, peer=peer, reason=Reason.DEADLINE)
-        # A timeout on an old connection speaks against that connection first:
-        # its siblings went through the same middle, so they go as well.
+        # A timeout on a reused connection is blamed on the connection first. Its
+        # other idle connections share the network path, so they are closed too.
         log_decision(
             logger,
             "silent connection",
@@ -259,9 +264,9 @@
         self._idle = []
         return Unknown(step=Step.RECEIVE, peer=peer, reason=Reason.SILENT_CONNECTION)
 
-    def _put_back(self, connection: Connection, *, reusable: bool) -> None:
-        # An answer that was abandoned half-way would be read as the answer to the
-        # next request, so only a connection whose answer was read whole returns.
+    def _recycle_or_close(self, connection: Connection, *, reusable: bool) -> None:
+        # The rest of an abandoned answer would be read as the answer to the next
+        # request, so only a connection whose answer was read completely is reused.
         if reusable and connection.http.is_idle():
             connection.answered_at = trio.current_time()
             self._idle.append(connection)
@@ -274,7 +279,7 @@
             connection.stream.close()
 
     async def close_idle(self, *, now: float) -> None:
-        """Close the connections that are idle beyond the limit at `now`."""
+        """Close the connections that exceed the idle limit at `now`."""
         kept: list[Connection] = []
         old: list[Connection] = []
         for connection in self._idle:
@@ -286,7 +291,7 @@
         self._close_all(old)
 
     async def close(self) -> None:
-        """Close every idle connection; those in use close as their calls end."""
+        """Close every idle connection; those in use close when their calls end."""
         await self.close_idle(now=float("inf"))
 
 
@@ -306,7 +311,7 @@
     )
 
 
-def _read_health(body: bytes) -> ServerReport | None:
+def _parse_health(body: bytes) -> ServerReport | None:
     try:
         health = msgspec.json.decode(body, type=HealthBody)
     except msgspec.DecodeError:
--- a/src/lavendergap/transport/callers.py
+++ b/src/lavendergap/transport/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP port for callers: checks what comes in, answers what came out."""
+"""The HTTP port for callers: validates requests and renders their answers."""
 
 import math
 import secrets
@@ -36,14 +36,14 @@
 
 PORT = "callers"
 MAX_DEADLINE_MS = 60_000
-MAX_REQUEST_ID = 128
-MAX_TICKET = 512
+MAX_REQUEST_ID_LENGTH = 128
+MAX_TICKET_BYTES = 512
 _check_json = msgspec.json.Decoder(msgspec.Raw).decode
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerRequest:
-    """A checked request; `deadline` is in seconds on the loop's clock."""
+    """A valid request; times are in seconds on the event loop's clock."""
 
     request_id: str
     service: Service
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Handlers:
-    """What the daemon does for callers; none of these raises for a failure."""
+    """The operations that the daemon provides; none raises for a failure."""
 
     get_settings: Callable[[], Settings]
     search: Callable[[CallerRequest], Awaitable[SearchResult | Refusal]]
@@ -92,7 +92,7 @@
 
 
 class CallersApp:
-    """An ASGI application; see docs/design/interfaces.md for its calls."""
+    """An ASGI application; docs/design/interfaces.md describes its endpoints."""
 
     def __init__(self, *, handlers: Handlers) -> None:
         self.n_running = 0
@@ -109,9 +109,9 @@
         try:
             response = await self._serve(scope, receive)
             if self._handlers.is_leaving():
-                # The balancer keeps connections open; one that we close while a
-                # request is on its way would cut it. Told so in an answer, the
-                # other side closes it itself, between two requests.
+                # The load balancer keeps connections open. Closing one from here
+                # could cut off a request in transit; with this header the balancer
+                # closes it between two requests.
                 response = _add_header(response, b"connection", b"close")
             await send_response(send, response)
         finally:
@@ -127,21 +127,21 @@
         match scope["path"].strip("/").split("/"):
             case ["v1", "services", name, "query"]:
                 request = await self._read(scope, receive, name)
-                _need_idempotent(request.service)
-                return self._refuse_unsettled(
+                _require_idempotent(request.service)
+                return self._refuse_if_not_ready(
                     request
-                ) or await self._search_while_wanted(request, receive)
+                ) or await self._search_until_disconnect(request, receive)
             case ["v1", "services", name, "tickets"]:
                 request = await self._read(scope, receive, name, needs_body=False)
-                return self._refuse_unsettled(request) or await self._issue(request)
+                return self._refuse_if_not_ready(request) or await self._issue(request)
             case ["v1", "services", name, "requests"]:
                 request = await self._read(scope, receive, name)
                 ticket = _read_ticket(scope)
-                return self._refuse_unsettled(request) or await self._run(
+                return self._refuse_if_not_ready(request) or await self._run(
                     request, ticket
                 )
             case ["v1", "tickets", ticket]:
-                _need_method(scope, "GET")
+                _require_method(scope, "GET")
                 answer = await self._handlers.look_up(make_request_id(scope), ticket)
                 return _render_run(answer)
             case _:
@@ -151,11 +151,11 @@
                     detail="use /v1/services/SERVICE/query, /tickets or /requests",
                 )
 
-    def _refuse_unsettled(self, request: CallerRequest) -> Response | None:
-        """Refuse while this host has only its file, which may be long out of date.
+    def _refuse_if_not_ready(self, request: CallerRequest) -> Response | None:
+        """Refuse requests while the only settings are those of this host's file.
 
-        The balancer sends nobody here then. Whoever comes all the same would be
-        served by settings that accepted edits have replaced.
+        The file may be out of date: accepted edits may have replaced its settings.
+        The load balancer sends no requests to this host then, but some may arrive.
         """
         detail = self._handlers.get_unsettled()
         if not detail:
@@ -167,7 +167,7 @@
     async def _read(
         self, scope: Scope, receive: Receive, name: str, *, needs_body: bool = True
     ) -> CallerRequest:
-        _need_method(scope, "POST")
+        _require_method(scope, "POST")
         service = self._handlers.get_settings().get_service(name)
         if service is None:
             raise BadRequestError(
@@ -179,7 +179,7 @@
         deadline = started + _read_deadline_ms(scope, service) / 1_000
         body = b""
         if needs_body:
-            _need_json(scope)
+            _require_json(scope)
             body = await read_body(scope, receive, limit=service.max_body_bytes)
             try:
                 _check_json(body)
@@ -197,12 +197,13 @@
             deadline=deadline,
         )
 
-    async def _search_while_wanted(
+    async def _search_until_disconnect(
         self, request: CallerRequest, receive: Receive
     ) -> Response:
-        """Search, but stop when the caller's connection closes.
+        """Search, but cancel when the caller's connection closes.
 
-        A caller that left would otherwise hold slots of every group to the end.
+        The request of a disconnected caller would otherwise hold slots of every
+        group until its deadline.
         """
         response = Response(status=HTTPStatus.BAD_REQUEST, body=b"")
         async with trio.open_nursery() as nursery:
@@ -237,7 +238,7 @@
                 return Response(status=status, body=encode_search(result))
 
     async def _issue(self, request: CallerRequest) -> Response:
-        _need_not_idempotent(request.service)
+        _require_not_idempotent(request.service)
         issued = await self._handlers.issue(request)
         match issued:
             case TicketText(text=text):
@@ -247,7 +248,7 @@
                 return _render_refusal(issued)
 
     async def _run(self, request: CallerRequest, ticket: str) -> Response:
-        _need_not_idempotent(request.service)
+        _require_not_idempotent(request.service)
         answer = await self._handlers.run(request, ticket)
         name = request.service.name
         match answer:
@@ -267,7 +268,7 @@
     )
 
 
-def _need_method(scope: Scope, method: str) -> None:
+def _require_method(scope: Scope, method: str) -> None:
     if scope["method"] != method:
         raise BadRequestError(
             status=HTTPStatus.METHOD_NOT_ALLOWED,
@@ -276,7 +277,7 @@
         )
 
 
-def _need_json(scope: Scope) -> None:
+def _require_json(scope: Scope) -> None:
     stated = get_headers(scope).get(b"content-type", JSON_TYPE)
     if stated.split(b";")[0].strip().lower() != JSON_TYPE:
         raise BadRequestError(
@@ -286,7 +287,7 @@
         )
 
 
-def _need_idempotent(service: Service) -> None:
+def _require_idempotent(service: Service) -> None:
     if not service.idempotent:
         raise BadRequestError(
             status=HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -296,7 +297,7 @@
         )
 
 
-def _need_not_idempotent(service: Service) -> None:
+def _require_not_idempotent(service: Service) -> None:
     if service.idempotent:
         raise BadRequestError(
             status=HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -332,7 +333,7 @@
             "once: take a ticket from /tickets and send it as Ticket",
         )
     ticket = headers.get(b"ticket")
-    if ticket is None or len(ticket) > MAX_TICKET:
+    if ticket is None or len(ticket) > MAX_TICKET_BYTES:
         raise BadRequestError(
             status=HTTPStatus.PRECONDITION_REQUIRED,
             problem="no ticket",
@@ -343,9 +344,9 @@
 
 
 def make_request_id(scope: Scope) -> str:
-    """Return the caller's Request-Id if it is usable, or a new one."""
+    """Return the caller's Request-Id if it is valid, or a new one."""
     stated = get_headers(scope).get(b"request-id", b"").decode("latin-1")
-    if stated and len(stated) <= MAX_REQUEST_ID and stated.isprintable():
+    if stated and len(stated) <= MAX_REQUEST_ID_LENGTH and stated.isprintable():
         return stated
     return secrets.token_hex(8)
 
--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -1,8 +1,8 @@
-"""A TCP channel between two entry processes, which proves that it is alive.
+"""A TCP channel between two entry processes, with heartbeats.
 
-The dialling side sends requests and the accepting side replies, any number of times
-for each request. What several tasks send within one turn of the loop leaves in one
-write.
+The dialling side sends requests, and the accepting side sends any number of replies
+to each. Frames that several tasks send within one iteration of the event loop are
+combined into one write.
 """
 
 import logging
@@ -35,12 +35,12 @@
 
 logger = logging.getLogger("lavendergap.connections")
 
-HEARTBEAT_AFTER = 0.25
-SILENCE_LIMIT = 0.75
-# A channel that nobody has used for this long is closed on both sides, one that a
-# vanished host left behind among them.
-IDLE_LIMIT = 120.0
-READ_SIZE = 65_536
+HEARTBEAT_AFTER_S = 0.25
+SILENCE_TIMEOUT_S = 0.75
+# Both sides close a channel that is unused for this long, so that channels to hosts
+# that no longer exist are closed as well.
+IDLE_TIMEOUT_S = 120.0
+READ_SIZE_BYTES = 65_536
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
 
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Exchange:
-    """What to do with the replies to a request, and with the loss of its channel."""
+    """Callbacks of a request: for each reply, and for the loss of its channel."""
 
     reply: Callable[[Message], None]
     lose: Callable[[Loss], None]
@@ -68,9 +68,9 @@
 class Channel:
     """One TCP connection between two entry processes.
 
-    `handle` is called on the accepting side with each request's frame; it answers
-    with `send`. The dialling side calls `request`, and `forget` when it expects no
-    more replies.
+    The accepting side gets each request's frame through `handle` and replies with
+    `send`. The dialling side calls `request`, and `forget` once it expects no more
+    replies. `lose` is called when the channel has ended.
     """
 
     def __init__(
@@ -92,8 +92,9 @@
         self._exchanges: dict[int, Exchange] = {}
         self._last_id = 0
         self._received_at = 0.0
-        # The first request that no byte has followed yet. It outlives its request,
-        # so that a silent channel is found although each who asks gives up early.
+        # When the first request without any byte received since was sent. It stays
+        # set when that request is forgotten, so that a silent channel is detected
+        # even if every request on it times out first.
         self._unanswered_since: float | None = None
         self._pinged_at: float | None = None
         self._unsent = bytearray()
@@ -102,11 +103,11 @@
         self._forced_loss: Loss | None = None
 
     async def run(self) -> None:
-        """Read and write until the channel ends, then tell all who wait."""
+        """Read and write until the channel ends, then report the loss."""
         metrics.peer_channels.inc()
         loss = Loss.STOPPED
         self._received_at = trio.current_time()
-        rounds = get_rounds(interval=HEARTBEAT_AFTER / 2)
+        rounds = get_rounds(interval=HEARTBEAT_AFTER_S / 2)
         rounds.add(self)
         try:
             with self._scope:
@@ -128,7 +129,7 @@
 
     @property
     def _peer_name(self) -> str:
-        return self.peer.host if self.peer else "a peer that has not said its name"
+        return self.peer.host if self.peer else "a peer that has not sent Hello"
 
     async def _end(self, loss: Loss) -> None:
         loss = self._forced_loss or loss
@@ -144,24 +145,24 @@
             self._lose(self, loss)
 
     def close(self, loss: Loss = Loss.STOPPED) -> None:
-        """End the channel at once; requests that wait are told `loss`."""
+        """End the channel at once; pending requests are lost with `loss`."""
         self.is_open = False
         self._forced_loss = loss
         self._scope.cancel()
 
     def send(self, frame: Frame) -> None:
-        """Queue a frame for the next write; closes on a peer that does not read."""
+        """Queue a frame for the next write; close if the peer does not read."""
         if not self.is_open:
             return
         self._unsent += encode_frame(frame)
         if len(self._unsent) > MAX_UNSENT_BYTES:
-            # A peer that stopped reading would otherwise hold our memory until
-            # we die of it; closing frees it and its requests go elsewhere.
+            # The queue of a peer that does not read would exhaust the memory.
+            # Closing frees it, and the requests go to other hosts.
             self.close(Loss.SLOW_READER)
         self._has_unsent.set()
 
     def request(self, message: Message, exchange: Exchange) -> int:
-        """Send a request; its replies and its loss go to `exchange`."""
+        """Send a request and return its id; `exchange` receives its replies or loss."""
         self._last_id += 1
         if self._unanswered_since is None:
             self._unanswered_since = trio.current_time()
@@ -170,25 +171,25 @@
         return self._last_id
 
     def has_received_since(self, time: float) -> bool:
-        """Tell whether any byte has come since `time`, on the loop's clock."""
+        """Return whether any byte arrived after `time`, on the event loop's clock."""
         return self._received_at > time
 
     def ping(self) -> None:
-        """Ask for a sign of life before the channel's own heartbeat would."""
+        """Send a Ping now rather than at the channel's next heartbeat."""
         if self._pinged_at is None:
             self._pinged_at = trio.current_time()
             self.send(Frame(id=0, message=Ping()))
 
     def forget(self, request_id: int) -> None:
-        """Drop whatever still comes for this request."""
+        """Discard any further replies to this request."""
         self._exchanges.pop(request_id, None)
 
     async def ask(self, message: Message, *, limit: float) -> Message | Loss:
-        """Send a request and wait up to `limit` seconds for its one reply."""
+        """Send a request and wait up to `limit` seconds for its only reply."""
         sender, receiver = trio.open_memory_channel[Message | Loss](1)
 
         def put(result: Message | Loss) -> None:
-            # A second reply, or the loss that follows a reply, changes nothing.
+            # A second reply, or a loss after the reply, is ignored.
             with suppress(trio.WouldBlock, trio.BrokenResourceError):
                 sender.send_nowait(result)
 
@@ -208,38 +209,37 @@
             await self._stream.send_all(data)
 
     def check(self, now: float) -> None:
-        """End the channel when it is silent or idle; called several times a second.
+        """Close the channel if it is silent or idle; called several times a second.
 
-        Something between the ends may lose track of a connection: both ends believe
-        in it and nothing arrives. While somebody waits for a reply, any byte proves
-        the channel; without one for a while a Ping asks, and without an answer to
-        that the channel ends, so that the requests on it are tried over a new one
-        well within their deadlines.
+        A middlebox may drop a connection's state: both ends keep it open, and
+        nothing arrives. If a pending request sees no byte for `HEARTBEAT_AFTER_S`,
+        a Ping is sent. If that is not answered in time, the channel is closed, so
+        that its requests can be retried over a new one before their deadlines.
         """
-        if now - self._received_at > IDLE_LIMIT and not self._exchanges:
+        if now - self._received_at > IDLE_TIMEOUT_S and not self._exchanges:
             self.close(Loss.IDLE)
         elif self._pinged_at is not None:
-            # Always the ping's own time, never the request's: after a stall of this
-            # process that is long past, and nothing was asked of the peer yet.
-            if now - self._pinged_at > SILENCE_LIMIT - HEARTBEAT_AFTER:
+            # Measured from the ping, not from the request: after a stall of this
+            # process the request may be old although no ping was sent yet.
+            if now - self._pinged_at > SILENCE_TIMEOUT_S - HEARTBEAT_AFTER_S:
                 self.close(Loss.SILENT)
-        elif self._is_quiet(now):
+        elif self._is_ping_due(now):
             self.ping()
 
-    def _is_quiet(self, now: float) -> bool:
+    def _is_ping_due(self, now: float) -> bool:
         since = self._unanswered_since
-        return since is not None and now - since > HEARTBEAT_AFTER
+        return since is not None and now - since > HEARTBEAT_AFTER_S
 
     async def _read(self) -> None:
         buffer = bytearray()
-        while data := await self._stream.receive_some(READ_SIZE):
+        while data := await self._stream.receive_some(READ_SIZE_BYTES):
             self._received_at = trio.current_time()
             self._pinged_at = None
             buffer += data
-            self._take_frames(buffer)
+            self._process_frames(buffer)
             self._unanswered_since = self._received_at if self._exchanges else None
 
-    def _take_frames(self, buffer: bytearray) -> None:
+    def _process_frames(self, buffer: bytearray) -> None:
         start = 0
         while len(buffer) - start >= LENGTH.size:
             length, is_packed = read_length(buffer, start)
@@ -249,14 +249,14 @@
             if len(buffer) < end:
                 break
             body = bytes(buffer[start + LENGTH.size : end])
-            self._take(decode_frame(body, is_packed=is_packed))
+            self._process_frame(decode_frame(body, is_packed=is_packed))
             start = end
         del buffer[:start]
 
-    def _take(self, frame: Frame) -> None:
+    def _process_frame(self, frame: Frame) -> None:
         match frame.message:
             case Hello() as hello:
-                self._greet(hello)
+                self._accept_hello(hello)
             case Ping():
                 self.send(Frame(id=0, message=Pong()))
             case Pong():
@@ -264,9 +264,9 @@
             case GoingAway():
                 self.is_leaving = True
             case message:
-                self._dispatch(frame, message)
+                self._deliver(frame, message)
 
-    def _greet(self, hello: Hello) -> None:
+    def _accept_hello(self, hello: Hello) -> None:
         if hello.format != FORMAT:
             raise BadFrameError(problem=f"format {hello.format}, ours is {FORMAT}")
         if hello.deployment != self._own.deployment:
@@ -274,7 +274,7 @@
         self.peer = hello
         self.greeted.set()
 
-    def _dispatch(self, frame: Frame, message: Message) -> None:
+    def _deliver(self, frame: Frame, message: Message) -> None:
         if self.peer is None:
             raise BadFrameError(problem="a message before Hello")
         if self._handle is not None:
--- a/src/lavendergap/transport/dialer.py
+++ b/src/lavendergap/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Dials channels to peers when they are first needed, one for each peer."""
+"""Opens one channel to each peer when it is first needed."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger("lavendergap.connections")
 
-CONNECT_LIMIT = 0.5
+CONNECT_TIMEOUT_S = 0.5
 
 
 async def connect_tcp(address: Address) -> trio.abc.Stream:
@@ -22,14 +22,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class Dial:
-    """A dial under way, and what came of it once `done` is set."""
+    """A dial in progress; `result` is valid once `done` is set."""
 
     done: trio.Event = field(default_factory=trio.Event)
     result: Channel | Loss = Loss.STOPPED
 
 
 class Dialer:
-    """Keeps one channel to each peer that is asked, dialled when first needed."""
+    """Keeps at most one channel to each peer, opened when first needed."""
 
     def __init__(
         self,
@@ -45,17 +45,18 @@
         self._dials: dict[str, Dial] = {}
 
     def get_open(self, host: str) -> Channel | None:
-        """Return the channel to `host` if it can take a request now."""
+        """Return the channel to `host` if it is open."""
         channel = self._channels.get(host)
         if channel is None or not channel.is_open:
             return None
         return channel
 
     async def dial(self, host: str, address: Address) -> Channel | Loss:
-        """Return a channel to `host`, a new one if none is open.
+        """Return a channel to `host`, opening one if there is none.
 
-        All who ask at once share one dial, which goes on when one of them leaves:
-        one after the other they would wait for a silent host many times over.
+        Concurrent calls share one dial, which continues when one of them is
+        cancelled. If each call dialled in turn, the last would wait for many
+        timeouts of a silent host.
         """
         channel = self.get_open(host)
         if channel is not None:
@@ -76,7 +77,7 @@
 
     async def _open(self, host: str, address: Address) -> Channel | Loss:
         try:
-            with trio.fail_after(CONNECT_LIMIT):
+            with trio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await self._connect(address)
         except trio.TooSlowError:
             return Loss.SILENT
@@ -85,13 +86,13 @@
         channel = Channel(stream=stream, own=self._own, lose=self._drop)
         channel.send(Frame(id=0, message=self._own))
         self._nursery.start_soon(channel.run)
-        with trio.move_on_after(CONNECT_LIMIT):
+        with trio.move_on_after(CONNECT_TIMEOUT_S):
             await channel.greeted.wait()
         return self._admit(host, channel)
 
     def _admit(self, host: str, channel: Channel) -> Channel | Loss:
-        # An address may have passed to another host since we learnt it. What is
-        # asked of one host must not be done by another, so the name has to match.
+        # The address may belong to another host by now. A request for one host must
+        # not be served by another, so the name has to match.
         if channel.peer is None or channel.peer.host != host:
             channel.close(Loss.REFUSED)
             return Loss.REFUSED if channel.peer else Loss.SILENT
--- a/src/lavendergap/transport/exchange.py
+++ b/src/lavendergap/transport/exchange.py
@@ -1,7 +1,7 @@
-"""Single HTTP calls to one address, each ended within a time limit.
+"""An HTTP client for calls to one address, each with a timeout.
 
-For the few calls to the platform and from the command line. Calls to backend servers
-have an accounting of connections of their own, in `transport.backend`.
+Used for calls to the platform and by the command line. Calls to backend servers manage
+their own connections, in `transport.backend` and `transport.forward`.
 """
 
 from collections.abc import Mapping
@@ -15,13 +15,13 @@
 from ..state.settings import Address
 
 MAX_ANSWER_BYTES = 8_000_000
-"""A list of all objects, or the answer to a query, is longer than one object."""
+"""Lists of objects and answers to queries are longer than a single object."""
 
 MAX_CONNECTIONS = 32
-"""Each waiting watch holds one."""
+"""Each pending watch holds a connection."""
 
 IDLE_LIMIT_S = 5.0
-"""A connection unused for longer may have gone silent; a new one is cheap here."""
+"""A connection idle for longer may be silent; opening another is cheap here."""
 
 _STEPS = {
     "connection.connect_tcp.started": Step.CONNECT,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """A whole answer; the names of its headers are in lower case."""
+    """A complete answer; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Lost:
-    """No answer: at which step and why.
+    """A call without an answer: the step that failed and the reason.
 
-    `sent` tells whether a byte of the request may have left, so that the call may
-    have taken effect, now or later.
+    `sent` is whether a byte of the request may have been sent, so that the call may
+    have taken effect or may still do so.
     """
 
     step: Step
@@ -54,7 +54,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Progress:
-    """How far one call has come, as httpcore's trace tells it."""
+    """The step that a call has reached, according to httpcore's trace."""
 
     step: Step = Step.CONNECT
 
@@ -73,18 +73,18 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Generation:
-    """A pool and the number of calls under way in it."""
+    """A connection pool and the number of calls in progress on it."""
 
     pool: httpcore.AsyncConnectionPool = field(default_factory=_make_pool)
     n_calls: int = 0
 
 
 class Exchange:
-    """Calls one address, over kept connections as long as they prove alive.
+    """An HTTP client of one address that reuses connections.
 
-    A kept connection can go silent for good while new ones work: each call on it
-    would time out. So once a call has timed out or was cut, no connection of before
-    is used again; the calls under way on them may still end.
+    A reused connection may be silent while new ones work, and each call on it would
+    time out. After a timeout or a lost connection, all later calls therefore use a
+    new pool; calls in progress on the old one may still complete.
     """
 
     def __init__(self, *, address: Address) -> None:
@@ -104,7 +104,7 @@
         headers: Mapping[str, str] | None = None,
         body: bytes | None = None,
     ) -> Reply | Lost:
-        """Make one call and return its answer, of any status, within `limit_s`."""
+        """Make a call of up to `limit_s` seconds; return its answer of any status."""
         progress = _Progress()
         generation = self._generation
         generation.n_calls += 1
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -28,9 +28,14 @@
 )
 from lavendergap.state.outcome import Answered, NotRun, Reason, Step, Unknown
 from lavendergap.state.settings import Address
-from lavendergap.transport.acceptor import HELLO_LIMIT, Acceptor
-from lavendergap.transport.channel import IDLE_LIMIT, SILENCE_LIMIT, Channel, Loss
-from lavendergap.transport.dialer import CONNECT_LIMIT, Dialer
+from lavendergap.transport.acceptor import HELLO_TIMEOUT_S, Acceptor
+from lavendergap.transport.channel import (
+    IDLE_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    Channel,
+    Loss,
+)
+from lavendergap.transport.dialer import CONNECT_TIMEOUT_S, Dialer
 
 ADDRESS = Address(ip="127.0.0.1", port=8101)
 FETCH = Fetch(name="settings/demo", at_least=1)
@@ -110,7 +115,7 @@
             pair.is_silent = True
             started = trio.current_time()
             assert await channel.ask(FETCH, limit=60.0) is Loss.SILENT
-            assert trio.current_time() - started < 2 * SILENCE_LIMIT
+            assert trio.current_time() - started < 2 * SILENCE_TIMEOUT_S
             pair.is_silent = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
@@ -126,7 +131,7 @@
             pair.answers = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
-            assert await channel.ask(FETCH, limit=10 * SILENCE_LIMIT) is Loss.SILENT
+            assert await channel.ask(FETCH, limit=10 * SILENCE_TIMEOUT_S) is Loss.SILENT
             assert channel.is_open
             nursery.cancel_scope.cancel()
 
@@ -158,7 +163,7 @@
             assert isinstance(channel, Channel)
             pair.is_silent = True
             for _ in range(10):
-                await channel.ask(FETCH, limit=SILENCE_LIMIT / 4)
+                await channel.ask(FETCH, limit=SILENCE_TIMEOUT_S / 4)
             assert not channel.is_open
             nursery.cancel_scope.cancel()
 
@@ -171,7 +176,7 @@
             async with trio.open_nursery() as dials:
                 for _ in range(10):
                     dials.start_soon(pair.dialer.dial, "ptl-b-1", ADDRESS)
-            assert trio.current_time() <= 2 * CONNECT_LIMIT
+            assert trio.current_time() <= 2 * CONNECT_TIMEOUT_S
             assert pair.n_connects == 1
             nursery.cancel_scope.cancel()
 
@@ -181,7 +186,7 @@
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             pair.is_silent = True
-            with trio.move_on_after(CONNECT_LIMIT / 2):
+            with trio.move_on_after(CONNECT_TIMEOUT_S / 2):
                 await pair.dialer.dial("ptl-b-1", ADDRESS)
             pair.is_silent = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -196,7 +201,7 @@
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
-            await trio.sleep(IDLE_LIMIT + 1)
+            await trio.sleep(IDLE_TIMEOUT_S + 1)
             assert not channel.is_open
             assert len(pair.lost) == 1
             nursery.cancel_scope.cancel()
@@ -245,7 +250,7 @@
             nursery.start_soon(pair.acceptor.serve_stream, theirs)
             if sent:
                 await ours.send_all(sent)
-            with trio.fail_after(HELLO_LIMIT + 1):
+            with trio.fail_after(HELLO_TIMEOUT_S + 1):
                 while await ours.receive_some(1_000):
                     pass
             assert pair.handled == []
