--- a/src/lavendergap/transport/__init__.py
+++ b/src/lavendergap/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, connections and HTTP; moves messages and accounts for connections."""
+"""Sockets, connections and HTTP: sends and receives messages, pools connections."""
--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -31,7 +31,7 @@
     encode_frame,
     read_length,
 )
-from .rounds import get_rounds
+from .rounds import get_periodic_checks
 
 logger = logging.getLogger("lavendergap.connections")
 
@@ -107,8 +107,8 @@
         metrics.peer_channels.inc()
         loss = Loss.STOPPED
         self._received_at = trio.current_time()
-        rounds = get_rounds(interval=HEARTBEAT_AFTER_S / 2)
-        rounds.add(self)
+        checks = get_periodic_checks(interval=HEARTBEAT_AFTER_S / 2)
+        checks.add(self)
         try:
             with self._scope:
                 async with trio.open_nursery() as nursery:
@@ -123,7 +123,7 @@
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             loss = Loss.RESET
         finally:
-            rounds.discard(self)
+            checks.discard(self)
             metrics.peer_channels.dec()
             await self._end(loss)
 
--- a/src/lavendergap/transport/forward.py
+++ b/src/lavendergap/transport/forward.py
@@ -1,8 +1,8 @@
 """Connections to one backend server that carry callers' requests unchanged.
 
-They speak HTTP without httpcore: whether bytes came after an answer, and whether any
-byte of a request left, decides what may be believed and repeated, and httpcore shows
-neither.
+This module implements HTTP without httpcore, which does not expose whether bytes
+followed an answer or whether any byte of a request was sent. Both decide whether an
+answer may be used and whether a request may be retried.
 """
 
 import socket
@@ -23,28 +23,26 @@
 from ..protocol.leaf import Reply, Verdict
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Server
-from .link import Exchange, Link, Result, has_input
+from .link import Exchange, Result, ServerConnection, has_input
 
 logger = get_logger(Category.CONNECTIONS)
 
-# What a new connection may take, in seconds. Most take a few milliseconds; a packet
-# that is dropped at a full queue is sent again after a second, and by then another
-# server has answered.
-CONNECT_LIMIT = 0.25
-# How long a server that dropped a request may take to accept a connection, in seconds,
-# before no more than the lost connection is held against it. One that lives accepts
-# within a round trip, and the port of one that has ended refuses as fast.
-LIFE_CHECK_LIMIT = 0.05
-# A request that must not run twice goes out only on a connection that carried an
-# answer this recently, in seconds: one that the server has closed meanwhile would
-# end the request as unknown.
-TRUSTED_IDLE = 1.0
-# A read on a connection that was idle for longer than the above gets this share of
-# the time left; the rest is for another server, should the connection be silent.
-UNPROVED_SHARE = 0.5
-# The server closes idle connections at its own time; ours is shorter by this share,
-# so that a request does not cross the close.
-IDLE_SHARE = 0.7
+# Shorter than TCP's retransmission of a dropped SYN after a second: by then another
+# server can have answered.
+CONNECT_TIMEOUT_S = 0.25
+# After a lost connection, how long the server may take to accept another one. A running
+# server accepts within a round trip, and the port of one that has ended refuses as
+# fast. On a timeout, the attempt counts as a lost connection only.
+LIVENESS_TIMEOUT_S = 0.05
+# A request that must not run twice reuses only a connection that carried an answer
+# this recently: if the server has closed the connection, its outcome is unknown.
+MAX_TRUSTED_IDLE_S = 1.0
+# A read on a connection that was idle for longer than MAX_TRUSTED_IDLE_S gets this
+# share of the time left. If the connection is silent, the rest is for another server.
+UNTRUSTED_TIMEOUT_SHARE = 0.5
+# An idle connection is closed after this share of the server's keep-alive timeout, so
+# that no request is sent while the server closes the connection.
+KEEP_ALIVE_SHARE = 0.7
 
 EndCall = Callable[[Verdict], None]
 
@@ -52,10 +50,9 @@
 class ForwardClient:
     """All connections of this process to one backend server.
 
-    `call` and `begin` never raise for what the server or the network does.
-    `idle_limit` is how long, in seconds, an idle connection is kept; a server that
-    names a shorter time in its answers gets that. The connections' tasks run in
-    `nursery`.
+    `call` and `begin` raise nothing for a failure of the server or the network.
+    `idle_limit` is how long an idle connection is kept, in seconds, unless the server's
+    answers state a shorter time. The connections' tasks run in `nursery`.
     """
 
     def __init__(
@@ -71,7 +68,7 @@
         self._idle_limit = idle_limit
         self._names = names
         self._nursery = nursery
-        self._idle: list[Link] = []
+        self._idle: list[ServerConnection] = []
         self._is_closed = False
 
     # Attempts.
@@ -92,12 +89,12 @@
         finally:
             if not ended:
                 exchange.cancel()
-        return ended[0] if ended else self._lose(Step.RECEIVE, Reason.DEADLINE)
+        return ended[0] if ended else self._make_unknown(Step.RECEIVE, Reason.DEADLINE)
 
     def begin(self, call: Call, *, fresh: bool, end: EndCall) -> Exchange:
-        """Begin an attempt at `call`; `end` is told its verdict, after this returns.
+        """Begin an attempt at `call`; `end` gets its verdict after this returns.
 
-        Whoever begins it cancels it at the call's deadline.
+        The code that begins an attempt has to cancel it at the call's deadline.
         """
         now = trio.current_time()
         exchange = Exchange(
@@ -106,13 +103,13 @@
             end=lambda ended, result: self._end(ended.call, result, end),
         )
         if call.deadline <= now:
-            self._refuse(exchange, Step.QUEUE, Reason.DEADLINE)
+            self._finish_unsent(exchange, Step.QUEUE, Reason.DEADLINE)
             return exchange
-        link = None if fresh else self._take_idle(call, now)
-        if link is not None:
-            self._send(link, exchange, now)
+        connection = None if fresh else self._take_idle(call, now)
+        if connection is not None:
+            self._send(connection, exchange, now)
         elif self._is_full:
-            self._refuse(exchange, Step.CONNECT, Reason.OVERLOADED)
+            self._finish_unsent(exchange, Step.CONNECT, Reason.OVERLOADED)
         else:
             self._count_opened()
             scope = exchange.opening = trio.CancelScope()
@@ -120,63 +117,69 @@
         return exchange
 
     async def probe(self) -> ServerReport | None:
-        """Tell nothing: answers and the registry say what a probe would.
+        """Return a report without content; no health endpoint is queried.
 
-        A probe costs a slot's time, and a health endpoint may lie either way.
+        A probe would use time of a server slot, and a health endpoint may be wrong.
+        Answers and the registry show whether the server is usable.
         """
         return ServerReport(in_use=0, slots=0, queued=0, state="serving", versions=())
 
     async def close_idle(self, *, now: float) -> None:
-        """Close the connections that have been idle for too long at `now`."""
-        old = [link for link in self._idle if now - link.answered_at > link.idle_limit]
-        for link in old:
-            link.drop(Reason.LOST_CONNECTION)
+        """Close the connections that exceed the idle limit at `now`."""
+        old = [
+            connection
+            for connection in self._idle
+            if now - connection.answered_at > connection.idle_limit
+        ]
+        for connection in old:
+            connection.drop(Reason.LOST_CONNECTION)
 
     async def close(self) -> None:
-        """Close every idle connection; those in use close as their calls end."""
+        """Close every idle connection; those in use close when their calls end."""
         self._is_closed = True
         await self.close_idle(now=float("inf"))
 
-    # What an exchange came to.
+    # Results of exchanges.
 
     def _end(self, call: Call, result: Result, end: EndCall) -> None:
         match result:
             case Unknown(reason=Reason.LOST_CONNECTION) if not self._is_full:
-                self._nursery.start_soon(self._end_lost, call, result, end)
+                self._nursery.start_soon(self._end_after_loss, call, result, end)
             case _:
-                end(self._judge(call, result))
+                end(self._make_verdict(call, result))
 
-    async def _end_lost(self, call: Call, lost: Unknown, end: EndCall) -> None:
-        """End an attempt whose connection broke, with whether the server has ended.
+    async def _end_after_loss(self, call: Call, lost: Unknown, end: EndCall) -> None:
+        """End an attempt whose connection was lost, and check if the server has ended.
 
-        A connection may break anywhere on its way, and a server may drop one request
-        and go on. One whose port refuses a new connection in that moment has ended.
+        A connection can break anywhere on the network path, and a server can drop a
+        request and keep running. A port that refuses a new connection at this moment
+        shows that the server's process has ended.
         """
         outcome = lost
         connected = None
         self._count_opened()
         try:
-            with trio.move_on_after(LIFE_CHECK_LIMIT):
+            with trio.move_on_after(LIVENESS_TIMEOUT_S):
                 connected = await _connect(self.server)
         except ConnectionRefusedError:
             outcome = replace(lost, reason=Reason.SERVER_ENDED)
         except Exception as error:
-            # As below: one of this program's own must not end the process.
+            # An unexpected error here must not end the process.
             self._log_connect_failure(call, error)
         finally:
             if connected is None:
                 self._count_closed()
         end(Verdict(outcome=outcome, report=None))
         if connected is not None:
-            link = self._make_link(connected)
-            self._keep(link)
-            await link.read()
+            connection = self._make_connection(connected)
+            self._keep(connection)
+            await connection.read()
 
-    def _judge(self, call: Call, result: Result) -> Verdict:
-        """Return what a result proves; an error of this program costs it and no more.
+    def _make_verdict(self, call: Call, result: Result) -> Verdict:
+        """Return the verdict on a result.
 
-        Raised further it would end the process, and with it every request of every
-        caller that the host serves.
+        An unexpected error loses this attempt only. If it were raised, it would end
+        the process and every request on this host.
         """
         if not isinstance(result, Reply):
             return Verdict(outcome=result, report=None)
@@ -190,51 +193,51 @@
                 is_part=bool(call.shard),
             )
         except Exception:
-            logger.exception("the answer of %s cannot be judged", self.server.name)
-            return self._lose(Step.CHECK, Reason.SERVER_ERROR)
+            logger.exception("cannot evaluate the answer of %s", self.server.name)
+            return self._make_unknown(Step.CHECK, Reason.SERVER_ERROR)
 
-    def _refuse(self, exchange: Exchange, step: Step, reason: Reason) -> None:
+    def _finish_unsent(self, exchange: Exchange, step: Step, reason: Reason) -> None:
         outcome = NotRun(step=step, peer=self.server.name, reason=reason)
         self._nursery.start_soon(_finish_soon, exchange, outcome)
 
-    def _lose(self, step: Step, reason: Reason) -> Verdict:
+    def _make_unknown(self, step: Step, reason: Reason) -> Verdict:
         outcome: Outcome = Unknown(step=step, peer=self.server.name, reason=reason)
         return Verdict(outcome=outcome, report=None)
 
     # Connections.
 
-    def _take_idle(self, call: Call, now: float) -> Link | None:
+    def _take_idle(self, call: Call, now: float) -> ServerConnection | None:
         while self._idle:
-            link = self._idle[-1]
-            age = now - link.answered_at
-            if not call.idempotent and age > TRUSTED_IDLE:
+            connection = self._idle[-1]
+            age = now - connection.answered_at
+            if not call.idempotent and age > MAX_TRUSTED_IDLE_S:
                 return None
             self._idle.pop()
-            # Its task may not have had a turn yet to see that the server closed it.
-            if age <= link.idle_limit and not has_input(link):
-                return link
-            link.drop(Reason.LOST_CONNECTION)
+            # The server may have closed it before its task could run again.
+            if age <= connection.idle_limit and not has_input(connection):
+                return connection
+            connection.drop(Reason.LOST_CONNECTION)
         return None
 
     async def _open(self, exchange: Exchange, scope: trio.CancelScope) -> None:
-        """Open a connection for an exchange, and read on it until it closes."""
-        link = await self._connect(exchange, scope)
-        if link is not None:
-            await link.read()
+        """Open a connection for an exchange and read from it until it closes."""
+        connection = await self._connect(exchange, scope)
+        if connection is not None:
+            await connection.read()
 
     async def _connect(
         self, exchange: Exchange, scope: trio.CancelScope
-    ) -> Link | None:
+    ) -> ServerConnection | None:
         peer = self.server.name
-        # By the clock and not by a time left: before this task's first turn the
-        # deadline may have passed, and a negative time is an error to trio.
-        until = min(trio.current_time() + CONNECT_LIMIT, exchange.call.deadline)
+        # An absolute time: the deadline may pass before this task first runs, and trio
+        # raises ValueError for a negative timeout.
+        until = min(trio.current_time() + CONNECT_TIMEOUT_S, exchange.call.deadline)
         connected = None
         try:
             with scope, trio.move_on_at(until):
                 connected = await _connect(self.server)
         except Exception as error:
-            # One of this program's own must not end the process either.
+            # An unexpected error here must not end the process.
             self._log_connect_failure(exchange.call, error)
         finally:
             if connected is None:
@@ -246,20 +249,20 @@
                 reason = Reason.REFUSED_CONNECTION
                 exchange.finish(NotRun(step=Step.CONNECT, peer=peer, reason=reason))
             return None
-        link = self._make_link(connected)
+        connection = self._make_connection(connected)
         now = trio.current_time()
         if scope.cancel_called or exchange.call.deadline <= now:
-            # Opening it took what was left; nothing was sent, and the next call
-            # finds the connection open.
-            self._keep(link)
+            # Connecting used up the time. Nothing was sent, and the connection is
+            # kept for the next call.
+            self._keep(connection)
             reason = Reason.CANCELLED if scope.cancel_called else Reason.DEADLINE
             exchange.finish(NotRun(step=Step.CONNECT, peer=peer, reason=reason))
         else:
-            self._send(link, exchange, now)
-        return link
+            self._send(connection, exchange, now)
+        return connection
 
-    def _make_link(self, connected: socket.socket) -> Link:
-        return Link(raw=connected, idle_limit=self._idle_limit, owner=self)
+    def _make_connection(self, connected: socket.socket) -> ServerConnection:
+        return ServerConnection(raw=connected, idle_limit=self._idle_limit, owner=self)
 
     def _log_connect_failure(self, call: Call, error: Exception) -> None:
         log_decision(
@@ -270,14 +273,16 @@
             error=str(error),
         )
 
-    def _keep(self, link: Link) -> None:
+    def _keep(self, connection: ServerConnection) -> None:
         """Keep a connection for the next request."""
         if self._is_closed:
-            link.drop(Reason.LOST_CONNECTION)
+            connection.drop(Reason.LOST_CONNECTION)
         else:
-            self._idle.append(link)
+            self._idle.append(connection)
 
-    def _send(self, link: Link, exchange: Exchange, now: float) -> None:
+    def _send(
+        self, connection: ServerConnection, exchange: Exchange, now: float
+    ) -> None:
         call = exchange.call
         assert call.forward is not None
         left = call.deadline - now
@@ -290,24 +295,25 @@
                 body=call.body,
             )
         except Exception:
-            # As above. Nothing has left, and the connection is as good as before.
-            logger.exception("a request to %s cannot be sent", self.server.name)
-            self._keep(link)
-            self._refuse(exchange, Step.SEND, Reason.SERVER_ERROR)
+            # An unexpected error must not end the process. Nothing was sent, so the
+            # connection can be reused.
+            logger.exception("cannot render a request to %s", self.server.name)
+            self._keep(connection)
+            self._finish_unsent(exchange, Step.SEND, Reason.SERVER_ERROR)
             return
-        silent_at = inf
-        if call.idempotent and now - link.answered_at > TRUSTED_IDLE:
-            silent_at = now + left * UNPROVED_SHARE
-        rest = link.send(exchange, data, silent_at=silent_at)
+        silence_deadline = inf
+        if call.idempotent and now - connection.answered_at > MAX_TRUSTED_IDLE_S:
+            silence_deadline = now + left * UNTRUSTED_TIMEOUT_SHARE
+        rest = connection.send(exchange, data, silence_deadline=silence_deadline)
         if rest:
-            self._nursery.start_soon(link.send_rest, exchange, rest)
+            self._nursery.start_soon(connection.send_rest, exchange, rest)
 
-    # What the connections tell.
+    # Callbacks of the connections.
 
-    def note_silence(self, exchange: Exchange) -> None:
-        """Close what was idle beside a connection that went silent.
+    def on_silence(self, exchange: Exchange) -> None:
+        """Close all idle connections after another connection was silent.
 
-        Its siblings went through the same middle.
+        They share its network path.
         """
         log_decision(
             logger,
@@ -316,38 +322,39 @@
             server=self.server.name,
             n_idle_dropped=len(self._idle),
         )
-        for sibling in list(self._idle):
-            sibling.drop(Reason.SILENT_CONNECTION)
+        for connection in list(self._idle):
+            connection.drop(Reason.SILENT_CONNECTION)
 
-    def note_closed(self, link: Link) -> None:
-        """Count a connection that is closed, and use it no more."""
+    def on_closed(self, connection: ServerConnection) -> None:
+        """Count a closed connection and remove it from the idle ones."""
         self._count_closed()
-        if link in self._idle:
-            self._idle.remove(link)
+        if connection in self._idle:
+            self._idle.remove(connection)
 
-    def take_back(self, link: Link, exchange: Exchange) -> bool:
-        """Keep a connection for the next request, if its answer will be that one's.
+    def return_connection(
+        self, connection: ServerConnection, exchange: Exchange
+    ) -> bool:
+        """Keep a connection for reuse if its answers match its requests.
 
-        Bytes after a whole answer belong to no request, and an answer that names
-        another request shows that the answers are off by one: so would be all that
-        follow.
+        Bytes after a complete answer belong to no request, and an answer to another
+        request means that the answers are off by one, as all later ones would be.
         """
         reader = exchange.reader
         assert exchange.call.forward is not None
-        if self._is_closed or link.is_closing:
+        if self._is_closed or connection.is_closed_by_server:
             return False
-        if reader.is_followed or not reader.may_keep_alive:
+        if reader.has_trailing_data or not reader.may_keep_alive:
             return False
         headers = reader.headers
         if headers.get(self._names.attempt) != exchange.call.forward.attempt:
             return False
-        link.idle_limit = min(
+        connection.idle_limit = min(
             self._idle_limit, _read_keep_alive(headers.get(b"keep-alive", b""))
         )
-        if link.idle_limit <= 0:
+        if connection.idle_limit <= 0:
             return False
-        link.answered_at = trio.current_time()
-        self._idle.append(link)
+        connection.answered_at = trio.current_time()
+        self._idle.append(connection)
         return True
 
     @property
@@ -381,7 +388,7 @@
 
 
 def _read_keep_alive(text: bytes) -> float:
-    """Return how long an idle connection is good for, in seconds.
+    """Return how long an idle connection may be reused, in seconds.
 
     >>> _read_keep_alive(b"timeout=10"), _read_keep_alive(b"")
     (7.0, inf)
@@ -389,5 +396,5 @@
     for field in text.split(b","):
         name, _, value = field.partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
-            return IDLE_SHARE * int(value)
+            return KEEP_ALIVE_SHARE * int(value)
     return float("inf")
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -35,22 +35,22 @@
 
 PORT = "gateway"
 MAX_TIME_LEFT_MS = 600_000
-MAX_ATTEMPT_ID = 256
-# What a caller is told who met a host that knows no routes yet: a host that has just
-# started has them within a second, and retries reach another one.
+MAX_ATTEMPT_ID_BYTES = 256
+# The Retry-After of a host without routes. A host that has just started receives them
+# within a second, and a retry may reach another host.
 NOT_READY_RETRY_MS = 300
-# Shorter than any caller's own pause, and long enough that a refusal without a
-# forecast does not become a busy loop.
+# Shorter than the callers' own retry delays, but long enough that refusals without an
+# estimate do not cause a busy loop of retries.
 MIN_RETRY_AFTER_MS = 20
-# Fewer digests than this fit into one header of every HTTP library.
-PROOFS_A_HEADER = 50
+# This many digests fit into one header in every HTTP library.
+PROOFS_PER_HEADER = 50
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayRequest:
-    """A caller's request with its route; times in seconds on the loop's clock.
+    """A caller's request and its route; times are seconds on the event loop's clock.
 
-    `goal` is when its answer has to leave this host to be worth its full credit.
+    `goal` is when the answer has to be sent from this host for full credit.
     """
 
     forward: ForwardedRequest
@@ -63,7 +63,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id as it stands in the logs."""
+        """The caller's id of the request, as it appears in the logs."""
         return self.forward.attempt.decode("latin-1")
 
 
@@ -72,9 +72,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayHandlers:
-    """What the daemon does for callers; `forward` never raises for a failure.
+    """The operations that the daemon provides; `forward` never raises for a failure.
 
-    It puts on the stack what is left to do once the caller has its answer.
+    `forward` pushes work that can wait until the answer is sent onto the stack.
     """
 
     get_routes: Callable[[], RouteIndex | None]
@@ -138,18 +138,18 @@
             )
             return
         with ExitStack() as after:
-            result = await self._forward_while_wanted(request, receive, after)
+            result = await self._forward_until_disconnect(request, receive, after)
             if result is None:
                 return
             ended = trio.current_time()
-            # All else comes after the answer, which may have been held until just
-            # before its goal; what frees servers goes before the log.
+            # Everything else follows the answer, which may have been delayed until
+            # just before its goal. Servers are released before the log is written.
             try:
                 await self._send(send, self._render(request, result))
-                self._note_sent(result)
+                self._record_send_time(result)
             finally:
                 after.close()
-                self._note(request, result, ended)
+                self._record_done(request, result, ended)
 
     async def _read(
         self, scope: Scope, receive: Receive, index: RouteIndex, started: float
@@ -205,7 +205,7 @@
 
     def _read_attempt(self, headers: dict[bytes, bytes]) -> bytes:
         attempt = headers.get(self._names.attempt, b"")
-        if not attempt or len(attempt) > MAX_ATTEMPT_ID:
+        if not attempt or len(attempt) > MAX_ATTEMPT_ID_BYTES:
             raise BadRequestError(
                 status=HTTPStatus.BAD_REQUEST,
                 problem="no request id",
@@ -229,18 +229,18 @@
             )
         return left
 
-    def _note_sent(self, result: GatewayResult) -> None:
+    def _record_send_time(self, result: GatewayResult) -> None:
         if isinstance(result, JoinedRecords) and result.cut_at is not None:
             now = trio.current_time()
             self._reserve.note(took_ms=(now - result.cut_at) * 1_000, now=now)
 
-    async def _forward_while_wanted(
+    async def _forward_until_disconnect(
         self, request: GatewayRequest, receive: Receive, after: ExitStack
     ) -> GatewayResult | None:
-        """Forward, but stop when the caller's connection closes; then return None.
+        """Forward, but cancel and return None when the caller's connection closes.
 
-        Servers would otherwise work on for a caller that is gone, and hold slots
-        that others wait for.
+        Servers would otherwise continue the work of a disconnected caller and hold
+        slots that other requests need.
         """
         result: GatewayResult | None = None
         async with trio.open_nursery() as nursery:
@@ -263,7 +263,7 @@
             nursery.cancel_scope.cancel()
         return result
 
-    def _note(
+    def _record_done(
         self, request: GatewayRequest, result: GatewayResult, ended: float
     ) -> None:
         elapsed = ended - request.started
@@ -335,8 +335,8 @@
             if name == names.proof
         ]
         headers = [(names.attempt, request.forward.attempt)]
-        for at in range(0, len(proofs), PROOFS_A_HEADER):
-            batch = b", ".join(proofs[at : at + PROOFS_A_HEADER])
+        for at in range(0, len(proofs), PROOFS_PER_HEADER):
+            batch = b", ".join(proofs[at : at + PROOFS_PER_HEADER])
             headers.append((names.proofs, batch))
         n_missing = joined.coverage.n_asked - joined.coverage.n_answered
         headers.append((names.n_missing, b"%d" % n_missing))
@@ -345,8 +345,8 @@
     async def _send(self, send: Send, reply: _Reply) -> None:
         headers = [*reply.headers, (b"content-length", b"%d" % len(reply.body))]
         if self._handlers.is_leaving():
-            # The other side would keep the connection, and a request on its way
-            # when this process ends would be cut. Told so, it opens another one.
+            # The client would otherwise keep the connection, and the end of this
+            # process would cut off a request in transit.
             headers.append((b"connection", b"close"))
         start = {
             "type": "http.response.start",
--- a/src/lavendergap/transport/gossip.py
+++ b/src/lavendergap/transport/gossip.py
@@ -1,4 +1,4 @@
-"""The UDP service that carries a host's membership."""
+"""Exchanges a host's membership messages over UDP."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -17,7 +17,7 @@
 
 
 class GossipMetrics:
-    """What operators see of the membership's datagrams."""
+    """Metrics of the membership's datagrams and of member changes."""
 
     def __init__(self, *, registry: CollectorRegistry) -> None:
         self.datagrams = Counter(
@@ -52,7 +52,7 @@
 
 
 class GossipEndpoint:
-    """A UDP socket with the codec of one deployment; drops what it can't use."""
+    """A UDP socket with the codec of one deployment; drops invalid datagrams."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._socket.close()
 
     async def send(self, sends: Iterable[Send]) -> None:
-        """Send messages; one that can't be sent is lost like any datagram."""
+        """Send messages; one that can't be sent is counted and dropped."""
         for send in sends:
             encoded = self._codec.encode(send.message)
             if isinstance(encoded, Refused):
@@ -86,20 +86,20 @@
             try:
                 await self._socket.sendto(encoded, (send.to.ip, send.to.port))
             except OSError as error:
-                # A route that is gone is the very thing that probes find out; the
-                # loop has to outlive it.
+                # A missing network route is a failure that probes detect, so the
+                # loop must continue.
                 reason = type(error).__name__
                 self.metrics.refused.labels("sent", reason).inc()
                 continue
             self._count("sent", send.message, encoded)
 
     async def receive(self) -> tuple[Message, Address]:
-        """Wait for the next datagram that is a message."""
+        """Wait for the next valid message and return it with its sender."""
         while True:
             try:
                 data, sender = await self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError as error:
-                # An ICMP error of an earlier send may surface here.
+                # An ICMP error for an earlier send may be raised here.
                 reason = type(error).__name__
                 self.metrics.refused.labels("received", reason).inc()
                 await trio.lowlevel.checkpoint()
@@ -112,19 +112,19 @@
             return message, Address(ip=sender[0], port=sender[1])
 
     def wake(self) -> None:
-        """Have the timer loop look again at when it is due."""
+        """Make the timer loop check its next deadline again."""
         self._woken.set()
 
     def rearm(self) -> None:
-        """Count only wakes from now on.
+        """Ignore earlier calls of `wake`.
 
-        The timer loop calls this before it decides what is due. Were it woken by
-        its own sends, it would never rest and keep a core busy.
+        The timer loop calls this before it determines which timers are due. If its
+        own sends woke it, it would run without a pause and use a whole core.
         """
         self._woken = trio.Event()
 
     async def wait_until(self, deadline: float, clock: Clock) -> None:
-        """Wait for a time of `clock`, or less when something woke the loop."""
+        """Wait until `clock` reaches `deadline` or `wake` is called."""
         with trio.move_on_after(max(0.0, deadline - clock())):
             await self._woken.wait()
 
@@ -136,7 +136,7 @@
 async def open_gossip(
     address: Address, *, deployment: str, metrics: GossipMetrics
 ) -> GossipEndpoint:
-    """Bind the UDP socket of a host's `peers` address."""
+    """Bind a UDP socket to a host's `peers` address."""
     family = trio.socket.AF_INET6 if ":" in address.ip else trio.socket.AF_INET
     socket = trio.socket.socket(family, trio.socket.SOCK_DGRAM)
     try:
@@ -155,11 +155,11 @@
     on_change: Callable[[Event], None],
     clock: Clock = trio.current_time,
 ) -> None:
-    """Drive `membership` over `endpoint` until cancelled.
+    """Run `membership` over `endpoint` until cancelled.
 
-    `on_change` is called with each event in turn, from this task, and must not
-    block. To leave or announce from elsewhere, hand what the membership returns to
-    `endpoint.send`.
+    `on_change` is called with each event in order, from this function's tasks, and
+    must not block. Other tasks that leave or announce have to pass the messages that
+    the membership returns to `endpoint.send`.
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_run_receiver, membership, endpoint, on_change, clock)
--- a/src/lavendergap/transport/link.py
+++ b/src/lavendergap/transport/link.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, and the exchange that is under way on it."""
+"""A connection to a backend server and the HTTP exchange in progress on it."""
 
 import socket
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 from ..state.outcome import NotRun, Reason, Step, Unknown
 from .replies import ReplyReader, WrongAnswerError
 
-READ_SIZE = 65_536
+READ_SIZE_BYTES = 65_536
 
-# How an exchange ended: with a whole answer, or what is known without one.
+# How an exchange ended: a complete answer, or whether the request may have run.
 Result = Reply | NotRun | Unknown
 
 
 class Exchange:
-    """One request to one server, from its start until `end` is told the result.
+    """One request to one server; `end` is called once with its result.
 
-    `end` is called once, never before `begin` of the client has returned.
+    `end` is never called before the client's `begin` has returned.
     """
 
-    __slots__ = ("call", "peer", "link", "reader", "n_sent", "opening", "_end")
+    __slots__ = ("call", "peer", "connection", "reader", "n_sent", "opening", "_end")
 
     def __init__(
         self, *, call: Call, peer: str, end: Callable[["Exchange", Result], None]
@@ -32,24 +32,24 @@
         assert call.forward is not None
         self.call = call
         self.peer = peer
-        self.link: Link | None = None
+        self.connection: ServerConnection | None = None
         self.reader = ReplyReader(has_no_body=call.forward.method == b"HEAD")
         self.n_sent = 0
-        # Cancelled to give up a connection that is only being opened for it.
+        # The scope in which a connection for this exchange is being opened.
         self.opening: trio.CancelScope | None = None
         self._end: Callable[[Exchange, Result], None] | None = end
 
     def finish(self, result: Result) -> None:
-        """Tell the result, unless one has been told already."""
+        """Report the result, unless one was reported already."""
         end, self._end = self._end, None
         if end is not None:
             end(self, result)
 
     def lose(self, reason: Reason) -> None:
-        """Finish without a whole answer.
+        """Finish without a complete answer.
 
-        Once a byte may have left nothing is known, even when the server closed an
-        idle connection in that same moment.
+        Once a byte may have been sent, the request may have run, even if the server
+        closed an idle connection at the same moment.
         """
         if self.n_sent == 0 and reason is not Reason.CANCELLED:
             self.finish(NotRun(step=Step.SEND, peer=self.peer, reason=reason))
@@ -57,71 +57,74 @@
             self.finish(Unknown(step=Step.RECEIVE, peer=self.peer, reason=reason))
 
     def cancel(self) -> None:
-        """Give up what nobody waits for; the server sees its connection close."""
+        """Cancel the exchange; the server sees its connection close."""
         if self._end is None:
             return
         if self.opening is not None:
             self.opening.cancel()
-        if self.link is not None:
-            self.link.drop(Reason.CANCELLED)
+        if self.connection is not None:
+            self.connection.drop(Reason.CANCELLED)
 
 
-class LinkOwner(Protocol):
-    """Who opened a connection, and decides what becomes of it."""
+class ConnectionOwner(Protocol):
+    """The client that opened a connection and decides on its reuse."""
 
-    def take_back(self, link: "Link", exchange: Exchange) -> bool:
-        """Take a whole answer; tell whether the connection may carry another one."""
+    def return_connection(
+        self, connection: "ServerConnection", exchange: Exchange
+    ) -> bool:
+        """Return whether the connection can be reused after a complete answer."""
 
-    def note_silence(self, exchange: Exchange) -> None:
-        """Act on a connection on which nothing came for too long."""
+    def on_silence(self, exchange: Exchange) -> None:
+        """Handle a connection on which no byte arrived in time."""
 
-    def note_closed(self, link: "Link") -> None:
-        """Act on a connection that is closed now."""
+    def on_closed(self, connection: "ServerConnection") -> None:
+        """Handle a connection that was closed."""
 
 
-class Link:
-    """An open connection with one task of its own, which reads until it closes.
+class ServerConnection:
+    """An open connection with one task that reads from it until it closes.
 
-    An answer takes this task one step. With a task for each request, its scopes and its
-    checkpoints, an owner took 3.5 steps of the loop and 1.1 waits for input a call, and
-    takes 1.5 and 0.75 (`python -m lab.callcost`). As the task also reads while nothing
-    is asked, a server's close is seen when it comes, and not by the next request.
+    A task per connection costs fewer steps of the event loop than a task per request
+    (`python -m lab.callcost` counts them). It also reads while the connection is idle,
+    so that a close by the server is detected before the next request.
     """
 
     __slots__ = (
         "raw",
         "answered_at",
         "idle_limit",
-        "is_closing",
+        "is_closed_by_server",
         "_exchange",
         "_owner",
-        "_patience",
+        "_silence_scope",
         "_is_open",
-        "_reason",
+        "_close_reason",
     )
 
     def __init__(
-        self, *, raw: socket.socket, idle_limit: float, owner: LinkOwner
+        self, *, raw: socket.socket, idle_limit: float, owner: ConnectionOwner
     ) -> None:
         self.raw = raw
         self.answered_at = trio.current_time()
         self.idle_limit = idle_limit
         # Whether the server has closed its side.
-        self.is_closing = False
+        self.is_closed_by_server = False
         self._exchange: Exchange | None = None
         self._owner = owner
-        self._patience = trio.CancelScope()
+        self._silence_scope = trio.CancelScope()
         self._is_open = True
-        self._reason = Reason.LOST_CONNECTION
+        self._close_reason = Reason.LOST_CONNECTION
 
-    def send(self, exchange: Exchange, data: bytes, *, silent_at: float) -> bytes:
-        """Begin an exchange; return what of `data` the kernel did not take.
+    def send(
+        self, exchange: Exchange, data: bytes, *, silence_deadline: float
+    ) -> bytes:
+        """Begin an exchange; return the part of `data` that is still to be sent.
 
-        A send that fails has taken nothing, so that the request is known not to have
-        left; the exchange then ends when this connection's task has seen that. If
-        nothing has come at `silent_at`, the connection is taken for silent.
+        After a send that fails, no byte of the request was sent; this connection's
+        task then ends the exchange. If no answer has arrived by `silence_deadline`,
+        the connection is treated as silent.
         """
-        exchange.link = self
+        exchange.connection = self
         self._exchange = exchange
         try:
             exchange.n_sent = self.raw.send(data)
@@ -130,12 +133,12 @@
         except OSError:
             self.drop(Reason.LOST_CONNECTION)
             return b""
-        if silent_at < inf:
-            self._patience.deadline = silent_at
+        if silence_deadline < inf:
+            self._silence_scope.deadline = silence_deadline
         return data[exchange.n_sent :]
 
     async def send_rest(self, exchange: Exchange, rest: bytes) -> None:
-        """Send what was left of a long request, as the server takes it."""
+        """Send the rest of a long request as the socket becomes writable."""
         while rest and self._is_open and self._exchange is exchange:
             try:
                 await trio.lowlevel.wait_writable(self.raw)
@@ -149,73 +152,73 @@
             rest = rest[n_sent:]
 
     def drop(self, reason: Reason) -> None:
-        """Close at once; the exchange under way ends with `reason`, soon after."""
+        """Close at once; the exchange in progress then ends with `reason`."""
         if self._is_open:
             self._is_open = False
-            self._reason = reason
+            self._close_reason = reason
             trio.lowlevel.notify_closing(self.raw)
             self.raw.close()
-            self._owner.note_closed(self)
+            self._owner.on_closed(self)
 
     async def read(self) -> None:
-        """Read until the connection closes, and finish each exchange on it."""
+        """Read until the connection closes and finish each exchange on it."""
         reason = Reason.LOST_CONNECTION
         try:
-            with self._patience:
+            with self._silence_scope:
                 while self._is_open:
                     await trio.lowlevel.wait_readable(self.raw)
-                    if not self._take_input():
+                    if not self._receive():
                         break
-            if self._patience.cancelled_caught and self._exchange is not None:
+            if self._silence_scope.cancelled_caught and self._exchange is not None:
                 reason = Reason.SILENT_CONNECTION
-                self._owner.note_silence(self._exchange)
+                self._owner.on_silence(self._exchange)
         except trio.ClosedResourceError:
-            pass  # Dropped, and the reason was noted then.
+            pass  # `drop` has recorded the reason.
         except WrongAnswerError:
             reason = Reason.WRONG_ANSWER
         except BaseException:
-            # This process stops: what was under way is not acted upon any more.
+            # The process is stopping; the exchange in progress gets no result.
             self.drop(reason)
             raise
         self.drop(reason)
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.lose(self._reason)
+            exchange.lose(self._close_reason)
 
-    def _take_input(self) -> bool:
-        """Take what has come; tell whether the connection is still of use."""
+    def _receive(self) -> bool:
+        """Process received bytes; return whether to keep reading."""
         try:
-            data = self.raw.recv(READ_SIZE)
+            data = self.raw.recv(READ_SIZE_BYTES)
         except BlockingIOError:
             return True
         except OSError:
             return False
         exchange = self._exchange
         if exchange is None:
-            # Bytes that belong to no request, or the server's close.
+            # Either bytes that belong to no request, or a close by the server.
             return False
         reader = exchange.reader
         if data:
             reader.feed(data)
         else:
-            self.is_closing = True
+            self.is_closed_by_server = True
             if not reader.has_begun:
                 return False
             reader.end()
         if not reader.is_whole:
             return True
         self._exchange = None
-        if self._patience.deadline < inf:
-            self._patience.deadline = inf
-        is_of_use = self._owner.take_back(self, exchange)
+        if self._silence_scope.deadline < inf:
+            self._silence_scope.deadline = inf
+        is_reusable = self._owner.return_connection(self, exchange)
         exchange.finish(reader.make_reply())
-        return is_of_use
+        return is_reusable
 
 
-def has_input(link: Link) -> bool:
-    """Tell whether bytes, or the server's close, wait on an idle connection."""
+def has_input(connection: ServerConnection) -> bool:
+    """Return whether an idle connection has unread bytes or was closed."""
     try:
-        link.raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        connection.raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
--- a/src/lavendergap/transport/platform.py
+++ b/src/lavendergap/transport/platform.py
@@ -1,4 +1,4 @@
-"""A client of the platform's object API; every call ends within its time limit."""
+"""A client of the platform's object API; every call has a timeout."""
 
 import re
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotModified:
-    """Nothing newer came within the time of the watch."""
+    """The watch ended without a newer version."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """The write's condition does not hold; `version` is the present one, if any."""
+    """The write's condition is not met; `version` is the current one, if any."""
 
     version: int | None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """The platform will never take this call; a mistake of ours, or a full store."""
+    """The platform rejects the call for good: an invalid request or a full store."""
 
     status: int
     message: str
@@ -67,9 +67,10 @@
 class Unavailable:
     """No usable answer within the time limit.
 
-    `sent` tells whether the request may have taken effect, now or later: a write
-    then has to be resolved by reading the object back. The platform's own 429 says
-    that it did not. `retry_after_s` is its word on when to come back, or 0.
+    `sent` is whether the request may have taken effect or may still do so. After
+    such a write, the caller has to read the object back. A 429 from the platform
+    means that the request took no effect. `retry_after_s` is the delay from the
+    answer's Retry-After header, or 0.
     """
 
     step: Step
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Listing:
-    """Objects under a prefix, and the revision to watch from."""
+    """The objects under a prefix, and the revision to watch from."""
 
     revision: int
     objects: tuple[ObjectVersion, ...]
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedHost:
-    """A host in the platform's lagging list; `state` is "live" or "leaving"."""
+    """A host in the platform's list; `state` is "live" or "leaving"."""
 
     name: str
     peers: str
@@ -106,23 +107,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostList:
-    """The platform's lagging list of hosts: a hint of whom to try, no more."""
+    """The platform's list of hosts, which may be stale; only hints of hosts to try."""
 
     hosts: tuple[ListedHost, ...]
 
 
 _Decoded = TypeVar("_Decoded")
-_LOST = (Reason.SILENT_CONNECTION, Reason.LOST_CONNECTION)
-_SPOILT = Unavailable(step=Step.CHECK, reason=Reason.WRONG_ANSWER, sent=True)
+_RETRIED_REASONS = (Reason.SILENT_CONNECTION, Reason.LOST_CONNECTION)
+_INVALID_ANSWER = Unavailable(step=Step.CHECK, reason=Reason.WRONG_ANSWER, sent=True)
 
 
 class PlatformClient:
-    """Calls the platform at `address`; no call outlasts `limit_s` seconds.
+    """Calls the platform at `address`; each call ends within `limit_s` seconds.
 
-    A watch has its own waiting time beside the limit. Reads whose connection is
-    lost or silent are tried once more on a fresh one. Watches are not: their callers
-    call again anyway. Writes never are, since only the caller can tell whether the
-    first one took effect.
+    A watch may take its waiting time in addition. Reads are retried once on a new
+    connection if theirs was lost or silent. Watches are not retried, since their
+    callers repeat them. Writes are not retried either: the caller has to find out
+    whether the first one took effect.
 
         async with PlatformClient(address=settings.platform) as client:
             match await client.get("settings/cedarlight"):
@@ -145,19 +146,19 @@
         await self._exchange.aclose()
 
     async def get(self, key: str) -> Found | Missing | Refused | Unavailable:
-        """Read an object. A read may be stale: compare versions before acting."""
+        """Read an object. The result may be stale: compare versions before using it."""
         reply = await self._read(_make_path(key))
         match reply:
             case Reply(status=HTTPStatus.OK):
                 return _read_object(key, reply)
             case Reply(status=HTTPStatus.NOT_FOUND):
                 return Missing(key=key)
-        return _explain(reply)
+        return _classify_failure(reply)
 
     async def put(
         self, key: str, value: bytes, *, base: int | None
     ) -> Stored | Conflict | Refused | Unavailable:
-        """Write an object if it is still at version `base`; None: if there is none."""
+        """Write an object if it is at version `base`, or does not exist (None)."""
         headers = {"Content-Type": "application/json"}
         if base is None:
             headers["If-None-Match"] = "*"
@@ -169,15 +170,15 @@
         match reply:
             case Reply(status=HTTPStatus.OK):
                 version = _parse_version(reply)
-                return _SPOILT if version is None else Stored(version=version)
+                return _INVALID_ANSWER if version is None else Stored(version=version)
             case Reply(status=HTTPStatus.PRECONDITION_FAILED):
                 return Conflict(version=_parse_version(reply))
-        return _explain(reply)
+        return _classify_failure(reply)
 
     async def watch(
         self, key: str, *, after: int, wait_s: float
     ) -> Found | NotModified | Missing | Refused | Unavailable:
-        """Wait up to `wait_s` seconds for a version over `after`."""
+        """Wait up to `wait_s` seconds for a version greater than `after`."""
         path = _make_path(key, after=after, wait_ms=round(wait_s * 1_000))
         reply = await self._exchange.call("GET", path, limit_s=wait_s + self.limit_s)
         match reply:
@@ -187,7 +188,7 @@
                 return Missing(key=key)
             case Reply(status=HTTPStatus.NOT_MODIFIED):
                 return NotModified()
-        return _explain(reply)
+        return _classify_failure(reply)
 
     async def list_objects(self, prefix: str) -> Listing | Refused | Unavailable:
         """List the objects whose keys start with `prefix`."""
@@ -208,18 +209,18 @@
         return _decode(reply, Listing)
 
     async def list_hosts(self) -> HostList | Refused | Unavailable:
-        """Read the platform's lagging list of hosts."""
+        """Read the platform's list of hosts, which may be stale."""
         return _decode(await self._read("/hosts"), HostList)
 
     async def _read(self, path: str) -> Reply | Lost:
-        """Read `path`, a second time on a fresh connection if the first is lost.
+        """Read `path`; retry on a new connection if the first was lost or silent.
 
-        The first try is the one that meets a kept connection gone silent, so it has
-        half of the limit; a second on a fresh connection answers in time.
+        Only the first call can use a reused connection that is silent. Its timeout
+        is half of the limit, which leaves time for the retry.
         """
         limit_s = self.limit_s / 2
         reply = await self._exchange.call("GET", path, limit_s=limit_s)
-        if isinstance(reply, Lost) and reply.reason in _LOST:
+        if isinstance(reply, Lost) and reply.reason in _RETRIED_REASONS:
             reply = await self._exchange.call("GET", path, limit_s=limit_s)
         return reply
 
@@ -229,14 +230,14 @@
     return f"/objects/{quote(key)}{query}"
 
 
-def _explain(reply: Reply | Lost) -> Refused | Unavailable:
+def _classify_failure(reply: Reply | Lost) -> Refused | Unavailable:
     match reply:
         case Lost(step=step, reason=reason, sent=sent):
             return Unavailable(step=step, reason=reason, sent=sent)
         case Reply(status=HTTPStatus.TOO_MANY_REQUESTS):
-            return _come_back(reply, Reason.OVERLOADED, sent=False)
+            return _make_unavailable(reply, Reason.OVERLOADED, sent=False)
         case Reply(status=status) if _is_outage(status):
-            return _come_back(reply, Reason.SERVER_ERROR, sent=True)
+            return _make_unavailable(reply, Reason.SERVER_ERROR, sent=True)
     message = ascii(reply.body[:_MAX_MESSAGE_BYTES].decode("utf-8", "replace"))
     return Refused(status=reply.status, message=message)
 
@@ -247,8 +248,8 @@
     )
 
 
-def _come_back(reply: Reply, reason: Reason, *, sent: bool) -> Unavailable:
-    """Read a 429 or a 5xx; the latter may come from between us and the store."""
+def _make_unavailable(reply: Reply, reason: Reason, *, sent: bool) -> Unavailable:
+    """Convert a 429 or a 5xx; the latter may come from a proxy before the store."""
     text = reply.headers.get("retry-after", "")
     is_number = text.isascii() and text.isdigit()
     after_s = min(float(text[:9]), MAX_RETRY_AFTER_S) if is_number else 0.0
@@ -260,7 +261,7 @@
 def _read_object(key: str, reply: Reply) -> Found | Unavailable:
     version = _parse_version(reply)
     if version is None:
-        return _SPOILT
+        return _INVALID_ANSWER
     return Found(key=key, version=version, value=reply.body)
 
 
@@ -273,8 +274,8 @@
     reply: Reply | Lost, kind: type[_Decoded]
 ) -> _Decoded | Refused | Unavailable:
     if not isinstance(reply, Reply) or reply.status != HTTPStatus.OK:
-        return _explain(reply)
+        return _classify_failure(reply)
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        return _SPOILT
+        return _INVALID_ANSWER
--- a/src/lavendergap/transport/replies.py
+++ b/src/lavendergap/transport/replies.py
@@ -1,8 +1,7 @@
-"""Reads one answer of a backend server from the bytes of its connection.
+"""Parses an HTTP answer of a backend server from the bytes of its connection.
 
-The parser is that of httptools, in C: an answer of 1 KB costs 13 us of processor time
-and 109 to 129 us with h11, both timed in one run over 5,000 answers. A host joins some
-thousand of them a second.
+The parser is that of httptools, which is written in C: a host reads thousands of
+answers a second, and h11's parser in Python takes several times as long.
 """
 
 from collections.abc import Mapping
@@ -11,24 +10,24 @@
 
 from ..protocol.leaf import Reply
 
-# Far more than any part of a library; a server gone wrong must not fill the memory.
+# Larger than any valid answer; a faulty server must not exhaust the memory.
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_HEAD_BYTES = 64 * 1024
-INFORMATIONAL_END = 200
+FIRST_FINAL_STATUS = 200  # lower ones are informational and precede the answer
 CONTENT_LENGTH = b"content-length"
 TRANSFER_ENCODING = b"transfer-encoding"
 CHUNKED = b"chunked"
 
 
 class WrongAnswerError(Exception):
-    """The bytes of a connection are no answer, or end before it is whole."""
+    """The bytes of a connection are not a valid, complete answer."""
 
 
 class ReplyReader:
-    """Collects an answer; `is_whole` tells when all of it is there.
+    """Collects an answer; `is_whole` is whether it is complete.
 
-    `is_followed` tells that bytes came after it: they belong to no request, and the
-    answers on the connection can no longer be told apart.
+    `has_trailing_data` is whether bytes arrived after it. They belong to no request, so
+    that later answers on the connection can no longer be assigned to requests.
 
     >>> reader = ReplyReader()
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\no")
@@ -41,7 +40,7 @@
 
     __slots__ = (
         "is_whole",
-        "is_followed",
+        "has_trailing_data",
         "may_keep_alive",
         "_parser",
         "_has_no_body",
@@ -56,7 +55,7 @@
 
     def __init__(self, *, has_no_body: bool = False) -> None:
         self.is_whole = False
-        self.is_followed = False
+        self.has_trailing_data = False
         self.may_keep_alive = False
         self._parser = httptools.HttpResponseParser(self)
         self._has_no_body = has_no_body
@@ -69,9 +68,9 @@
         self._n_body_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes as they came; raises `WrongAnswerError` for what is no answer."""
+        """Parse received bytes; raises `WrongAnswerError` if they are invalid."""
         if self.is_whole:
-            self.is_followed = True
+            self.has_trailing_data = True
             return
         if not self._has_head:
             self._n_head_bytes += len(data)
@@ -80,50 +79,50 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.is_whole:
                 raise WrongAnswerError(str(error)) from error
-            self.is_followed = True
+            self.has_trailing_data = True
         if not self._has_head and self._n_head_bytes > MAX_HEAD_BYTES:
             raise WrongAnswerError("the head is too long")
 
     def end(self) -> None:
-        """Take the connection's orderly end, which may be that of the answer."""
+        """Handle the end of the connection, which may complete the answer."""
         if not (self._has_head and self._ends_with_connection):
             raise WrongAnswerError("the connection ended before the answer")
         self.is_whole = True
 
     @property
     def has_begun(self) -> bool:
-        """Whether any byte of an answer has come."""
+        """Whether any byte of an answer was received."""
         return self._n_head_bytes > 0
 
     @property
     def headers(self) -> Mapping[bytes, bytes]:
-        """The headers that have come, their names in lower case."""
+        """The headers received so far, with names in lower case."""
         return self._headers
 
     def make_reply(self) -> Reply:
-        """Return the answer, once it is whole."""
+        """Return the answer, which must be complete."""
         return Reply(
             status=self._status, headers=self._headers, body=b"".join(self._parts)
         )
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Note what follows a whole answer."""
+        """Detect a message after the complete answer."""
         if self.is_whole:
-            self.is_followed = True
+            self.has_trailing_data = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Store a header."""
         if not self.is_whole:
             self._headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Find out how the body ends."""
+        """Determine how the end of the body is marked."""
         if self.is_whole:
             return
         self._status = self._parser.get_status_code()
-        if self._status < INFORMATIONAL_END:
+        if self._status < FIRST_FINAL_STATUS:
             return
         self._has_head = True
         self.may_keep_alive = self._parser.should_keep_alive()
@@ -133,12 +132,12 @@
         has_length = CONTENT_LENGTH in self._headers
         self._ends_with_connection = encoding is None and not has_length
         if self._has_no_body:
-            # The parser expects what its headers announce; nothing will come.
+            # The headers may announce a body, which is never sent.
             self.is_whole = True
             self.may_keep_alive = False
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Store a part of the body."""
         if self.is_whole:
             return
         self._parts.append(data)
@@ -147,8 +146,8 @@
             raise WrongAnswerError("the answer is too large")
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole, unless it was only on its way."""
-        if self._status < INFORMATIONAL_END:
+        """Mark the answer as complete, unless it is an informational one."""
+        if self._status < FIRST_FINAL_STATUS:
             self._headers = {}
         else:
             self.is_whole = True
--- a/src/lavendergap/transport/rounds.py
+++ b/src/lavendergap/transport/rounds.py
@@ -1,8 +1,7 @@
-"""One task that looks at all channels of a process in turn, in place of one for each.
+"""Periodic checks of all channels of a process, in a single task.
 
-Eight looks a second at each of 1,100 channel ends, as 550 hosts have them, took over a
-third of a core when each channel slept and woke on its own: nearly all of it the loop's
-own work for a timer and a switch of tasks.
+A timer and a task for each channel would cost the event loop a large share of a core
+on a host with a thousand channels.
 """
 
 from typing import Protocol
@@ -10,59 +9,59 @@
 import trio
 
 
-class Watched(Protocol):
-    """What is looked at; `check` must neither wait nor raise."""
+class Checkable(Protocol):
+    """An object to be checked; `check` must neither wait nor raise."""
 
     def check(self, now: float) -> None:
-        """Act on the time that has passed."""
+        """Check for timeouts at `now`, on the event loop's clock."""
 
 
-class Rounds:
-    """Calls `check` of each thing watched, every `interval` seconds.
+class PeriodicChecks:
+    """Calls `check` of each registered object every `interval` seconds.
 
-    The task runs while there is something to watch, and ends with the trio run.
+    The task runs while there are such objects, and ends with the trio run.
     """
 
     def __init__(self, *, interval: float) -> None:
         self._interval = interval
-        self._watched: dict[Watched, None] = {}
+        self._targets: dict[Checkable, None] = {}
         self._is_running = False
 
-    def add(self, watched: Watched) -> None:
-        """Look at it from now on."""
-        self._watched[watched] = None
+    def add(self, target: Checkable) -> None:
+        """Start checking `target`."""
+        self._targets[target] = None
         if not self._is_running:
             self._is_running = True
             trio.lowlevel.spawn_system_task(self._run)
 
-    def discard(self, watched: Watched) -> None:
-        """Look at it no more."""
-        self._watched.pop(watched, None)
+    def discard(self, target: Checkable) -> None:
+        """Stop checking `target`."""
+        self._targets.pop(target, None)
 
     async def _run(self) -> None:
         try:
-            while self._watched:
+            while self._targets:
                 due = trio.current_time() + self._interval
                 await trio.sleep_until(due)
                 now = trio.current_time()
                 if now - due > self._interval:
-                    # This process stood still. What the others sent meanwhile lies
-                    # unread; judged now, all of them would be taken for silent.
+                    # This process was stalled, and data that peers sent meanwhile
+                    # is still unread. A check now would find all peers silent.
                     continue
-                for watched in tuple(self._watched):
-                    watched.check(now)
+                for target in tuple(self._targets):
+                    target.check(now)
         finally:
             self._is_running = False
 
 
-_rounds: trio.lowlevel.RunVar[Rounds] = trio.lowlevel.RunVar("rounds")
+_periodic_checks: trio.lowlevel.RunVar[PeriodicChecks] = trio.lowlevel.RunVar("checks")
 
 
-def get_rounds(*, interval: float) -> Rounds:
-    """Return the rounds of this trio run, made at the first call."""
+def get_periodic_checks(*, interval: float) -> PeriodicChecks:
+    """Return the checks of this trio run, created at the first call."""
     try:
-        return _rounds.get()
+        return _periodic_checks.get()
     except LookupError:
-        rounds = Rounds(interval=interval)
-        _rounds.set(rounds)
-        return rounds
+        checks = PeriodicChecks(interval=interval)
+        _periodic_checks.set(checks)
+        return checks
--- a/src/lavendergap/transport/stream.py
+++ b/src/lavendergap/transport/stream.py
@@ -1,7 +1,7 @@
 """A TCP stream for httpcore that sends each request in one piece and counts bytes.
 
-httpcore's own stream sends head and body apart, each within a time limit of its own.
-Here the client keeps the time of the whole call, so a request costs one system call
+httpcore's own stream sends head and body separately, each with its own timeout. Here
+the client limits the time of the whole call, so that a request needs one system call
 to send and one to receive (see docs/design/connections.md).
 """
 
@@ -14,7 +14,7 @@
 
 
 async def open_stream(ip: str, port: int, *, max_received: int) -> "RequestStream":
-    """Connect to an address; raises httpcore.ConnectError when that is refused."""
+    """Connect to an address; raises httpcore.ConnectError on failure."""
     try:
         with trio.socket.socket() as connecting:
             connecting.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -29,9 +29,9 @@
 class RequestStream(httpcore.AsyncNetworkStream):
     """One connected socket.
 
-    `n_sent` counts the bytes that the kernel took since the last `begin`: as long as
-    it is 0 the request cannot have run. An answer of more than `max_received` bytes
-    raises httpcore.ReadError, for a server gone wrong must not fill the memory.
+    `n_sent` counts the bytes that the kernel accepted since the last `begin`: while it
+    is 0, the request cannot have run. An answer of more than `max_received` bytes
+    raises httpcore.ReadError, since a faulty server must not exhaust the memory.
     """
 
     def __init__(self, *, connected: socket.socket, max_received: int) -> None:
@@ -44,16 +44,16 @@
         self._poll.register(connected, select.POLLIN)
 
     def begin(self) -> None:
-        """Start counting anew, for the next request."""
+        """Reset the counts for the next request."""
         self.n_sent = 0
         self._n_received = 0
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Keep the bytes until the whole request is there, which the read shows."""
+        """Buffer the bytes; the first read after the request sends them."""
         self._unsent += buffer
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Send what is kept, then wait for bytes; empty when the server closed."""
+        """Send the buffered bytes and wait for data; empty if the server closed."""
         if self._unsent:
             await self._send()
         while True:
@@ -84,17 +84,17 @@
             unsent = unsent[n_sent:]
 
     async def aclose(self) -> None:
-        """Close at once; nothing is waited for."""
+        """Close at once, without waiting."""
         self.close()
 
     def close(self) -> None:
-        """Close at once. The server sees it, and cancels what it still ran."""
+        """Close at once; the server sees this and cancels the request."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
 
     def get_extra_info(self, info: str) -> Any:
-        """Tell httpcore whether bytes, or the server's close, wait to be read."""
+        """Return whether the socket has unread data or was closed by the server."""
         if info == "is_readable":
             return bool(self._poll.poll(0))
         return None
--- a/src/lavendergap/transport/web.py
+++ b/src/lavendergap/transport/web.py
@@ -1,4 +1,4 @@
-"""Reading requests and sending answers over ASGI, within limits, for both ports."""
+"""Reads requests and sends answers over ASGI, with limits of size and time."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -14,15 +14,14 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 Scope = dict[str, Any]
 
-# A caller that sends its body slower than this holds one of our few connections
-# for nothing, since its deadline is long past by then.
-BODY_LIMIT = 5.0
+# The deadline of a request has passed by then; its connection is needed for others.
+BODY_TIMEOUT_S = 5.0
 JSON_TYPE = b"application/json"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """An answer to send: a status, a body and extra headers."""
+    """An answer to send: status, body and additional headers."""
 
     status: int
     body: bytes
@@ -31,7 +30,7 @@
 
 
 class BadRequestError(Exception):
-    """Input that cannot be served; becomes an answer with `status`."""
+    """An invalid request; it is answered with `status`."""
 
     def __init__(self, *, status: HTTPStatus, problem: str, detail: str) -> None:
         super().__init__(detail)
@@ -52,13 +51,13 @@
 
 
 async def read_body(scope: Scope, receive: Receive, *, limit: int) -> bytes:
-    """Return the whole body, or raise BadRequestError past `limit` bytes or time."""
+    """Return the body; raises BadRequestError if it is over `limit` bytes or slow."""
     stated = get_headers(scope).get(b"content-length")
     if stated is not None and int(stated) > limit:
         raise _too_large(limit)
     parts: list[bytes] = []
     n_bytes = 0
-    with trio.move_on_after(BODY_LIMIT):
+    with trio.move_on_after(BODY_TIMEOUT_S):
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
@@ -76,7 +75,7 @@
     raise BadRequestError(
         status=HTTPStatus.REQUEST_TIMEOUT,
         problem="slow body",
-        detail=f"send the whole body within {BODY_LIMIT:g} s",
+        detail=f"send the whole body within {BODY_TIMEOUT_S:g} s",
     )
 
 
@@ -89,7 +88,7 @@
 
 
 async def send_response(send: Send, response: Response) -> None:
-    """Send a whole answer."""
+    """Send a complete answer."""
     headers = [
         (b"content-type", response.content_type),
         (b"content-length", b"%d" % len(response.body)),
@@ -106,7 +105,7 @@
 
 
 async def serve_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's lifespan events, without which it stops silently."""
+    """Answer the ASGI server's lifespan events; without answers it stops silently."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -19,7 +19,7 @@
     RunResult,
     TicketText,
 )
-from lavendergap.transport.web import BODY_LIMIT
+from lavendergap.transport.web import BODY_TIMEOUT_S
 from tests.nodes import build_settings
 
 Message = dict[str, Any]
@@ -191,7 +191,7 @@
         started = trio.current_time()
 
         async def receive() -> Message:
-            await trio.sleep(BODY_LIMIT * 0.6)
+            await trio.sleep(BODY_TIMEOUT_S * 0.6)
             return {"type": "http.request", "body": b"{", "more_body": True}
 
         async def send(message: Message) -> None:
@@ -199,7 +199,7 @@
 
         await app(call.scope, receive, send)
         assert call.status == 408
-        assert trio.current_time() - started == BODY_LIMIT
+        assert trio.current_time() - started == BODY_TIMEOUT_S
 
 
 class TestAnswers:
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -396,8 +396,8 @@
         # The kernel refuses the bytes: none has left, and a booking may go elsewhere.
         async with open_bench(answer(), answer()) as bench:
             await bench.call()
-            [link] = bench.client._idle
-            link.raw.shutdown(socket.SHUT_WR)
+            [connection] = bench.client._idle
+            connection.raw.shutdown(socket.SHUT_WR)
             verdict = await bench.call(make_call(idempotent=False))
             assert isinstance(verdict.outcome, NotRun)
             assert verdict.outcome.reason is Reason.LOST_CONNECTION
@@ -415,7 +415,7 @@
         # connections beside it are not tried one after the other.
         async with open_bench(answer(), b"silence") as bench:
             await bench.call()
-            await trio.sleep(forward.TRUSTED_IDLE + 0.5)
+            await trio.sleep(forward.MAX_TRUSTED_IDLE_S + 0.5)
             started = trio.current_time()
             outcome = (await bench.call()).outcome
             assert isinstance(outcome, Unknown)
@@ -491,4 +491,4 @@
             exchange.cancel()
             await trio.sleep(0.05)
             assert [type(v.outcome) for v in ended] == [Answered, Answered]
-            assert later.link is exchange.link
+            assert later.connection is exchange.connection
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -38,7 +38,7 @@
                 reader.feed(data[start:end])
         assert reader.is_whole
         assert reader.may_keep_alive
-        assert not reader.is_followed
+        assert not reader.has_trailing_data
         reply = reader.make_reply()
         assert (reply.status, reply.body) == (200, b"whole")
 
@@ -86,16 +86,16 @@
     def test_in_one_piece(self, extra):
         reader = read(WHOLE + extra)
         assert reader.is_whole
-        assert reader.is_followed
+        assert reader.has_trailing_data
         assert reader.make_reply().body == b"whole"
 
     def test_in_the_next_piece(self):
         reader = read(WHOLE)
         reader.feed(b"\r\n")
-        assert reader.is_followed
+        assert reader.has_trailing_data
 
     def test_after_a_chunked_one(self):
-        assert read(CHUNKED + WHOLE).is_followed
+        assert read(CHUNKED + WHOLE).has_trailing_data
 
 
 class TestWrong:
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -2,10 +2,10 @@
 
 import trio
 
-from lavendergap.transport.rounds import Rounds
+from lavendergap.transport.rounds import PeriodicChecks
 
 
-class Watched:
+class Checkable:
     """Notes when it was looked at."""
 
     def __init__(self) -> None:
@@ -17,8 +17,8 @@
 
 class TestRounds:
     async def test_looks_at_each_until_it_is_discarded(self, autojump_clock):
-        rounds = Rounds(interval=0.125)
-        watched = Watched()
+        rounds = PeriodicChecks(interval=0.125)
+        watched = Checkable()
         rounds.add(watched)
         await trio.sleep(0.3)
         assert watched.checks == [0.125, 0.25]
@@ -29,8 +29,8 @@
     async def test_a_round_that_comes_late_judges_nobody(self, autojump_clock):
         # This process stood still for two seconds. Judged in that moment, with what
         # the peers sent meanwhile still unread, all channels would be closed.
-        rounds = Rounds(interval=0.125)
-        watched = Watched()
+        rounds = PeriodicChecks(interval=0.125)
+        watched = Checkable()
         rounds.add(watched)
         await trio.sleep(0.2)
         autojump_clock.jump(2.0)
