--- a/src/lavendergap/__main__.py
+++ b/src/lavendergap/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: `python -m lavendergap`, like `lavendergap`."""
+"""Runs the command line as `python -m lavendergap`."""
 
 from .startup import main
 
--- a/src/lavendergap/commands/apply.py
+++ b/src/lavendergap/commands/apply.py
@@ -1,4 +1,4 @@
-"""`lavendergap settings apply`: puts an edit in force, or says whose came first."""
+"""`lavendergap settings apply`: writes an edit, or reports a conflicting one."""
 
 import uuid
 from collections.abc import Iterator
@@ -20,11 +20,11 @@
 from ..state.tree import parse_settings, read_file
 from ..transport.platform import Found, PlatformClient
 from .console import print_json, print_note
-from .options import take_json
+from .options import json_option
 from .publishing import (
     Accepted,
+    EditConflict,
     NotWritten,
-    Overtaken,
     Proposal,
     Publication,
     Unchanged,
@@ -39,14 +39,18 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--author", required=True, help="Who edits; kept in the history.")
-@click.option("--message", required=True, help="Why; kept in the history.")
+@click.option(
+    "--author", required=True, help="Who makes the edit; kept in the history."
+)
+@click.option(
+    "--message", required=True, help="Why the edit is made; kept in the history."
+)
 @click.option(
     "--base",
     required=True,
     type=click.IntRange(min=0),
     metavar="VERSION",
-    help="The version that FILE was made from; 0 if there are no settings yet.",
+    help="The version that FILE is based on; 0 if there are no settings yet.",
 )
 @click.option(
     "--wait",
@@ -55,7 +59,7 @@
     metavar="SECONDS",
     help="Wait until every entry host in FILE has the edit in force.",
 )
-@take_json
+@json_option
 def apply(
     file: Path,
     author: str,
@@ -64,11 +68,11 @@
     wait_s: float | None,
     as_json: bool,
 ) -> None:
-    """Check FILE and put it in force, if nobody else has edited since --base.
+    """Check FILE and put it in force, unless there are other edits since --base.
 
-    An edit that another operator has overtaken is refused with exit code 4 and
-    shows what was changed since. With --wait, exit code 5 names the hosts that do
-    not have it in force in time; the edit stays accepted.
+    If another edit came first, the command exits with code 4 and shows what was
+    changed since. With --wait, it exits with code 5 and names the hosts that do
+    not have the edit in force in time; the edit stays accepted.
     """
     text = read_file(file)
     settings = parse_settings(text, file=str(file))
@@ -83,7 +87,9 @@
         at=datetime.now(UTC).isoformat(timespec="seconds"),
         message=message,
     )
-    version = _judge(trio.run(_publish, settings, proposal), proposal, file)
+    version = _get_version_or_raise(
+        trio.run(_publish, settings, proposal), proposal, file
+    )
     rollout = None
     if wait_s is not None:
         rollout = trio.run(_wait, settings, version, wait_s)
@@ -112,8 +118,8 @@
     )
 
 
-def _judge(outcome: Publication, proposal: Proposal, file: Path) -> int:
-    """Return the version in place, or raise what the operator has to know."""
+def _get_version_or_raise(outcome: Publication, proposal: Proposal, file: Path) -> int:
+    """Return the accepted version, or raise an error for the operator."""
     match outcome:
         case Accepted(version=version):
             print_note(f"accepted as version {version}, edit {proposal.id}")
@@ -121,7 +127,7 @@
         case Unchanged(version=version):
             print_note(f"nothing to change: version {version} has this very text")
             return version
-        case Overtaken():
+        case EditConflict():
             lines = _explain_conflict(outcome, proposal, file)
             raise ConflictError("\n".join(lines))
         case NotWritten(reason=reason):
@@ -129,40 +135,40 @@
         case Unresolved(reason=reason):
             raise UnreachableError(
                 f"not known whether the edit was accepted: {reason}; look for edit "
-                f"{proposal.id} in `lavendergap settings history`, and if it is not "
-                "there apply again"
+                f"{proposal.id} in `lavendergap settings history`, and apply it again "
+                "if it is not there"
             )
 
 
 def _explain_conflict(
-    conflict: Overtaken, proposal: Proposal, file: Path
+    conflict: EditConflict, proposal: Proposal, file: Path
 ) -> Iterator[str]:
-    """Yield what others have changed since the base, with their values and ours."""
+    """Yield a description of other edits since the base: their values and ours."""
     version = conflict.version
     yield (
         f"your edit is made from version {proposal.base}, but version {version} is in "
         "place; nothing was written"
     )
     theirs = parse_text(conflict.head.text, file=f"version {version}")
-    since = _list_since(conflict.head, proposal.base)
+    since = _list_edits_since(conflict.head, proposal.base)
     for edit in since:
         yield f"  {edit.author}, {edit.at}: {edit.message}"
     paths = [path for edit in since for path in edit.changed]
     if not since:
-        # Written without a history of edits, or more edits since than it holds.
+        # The history is missing or does not reach back to the base.
         paths = [change.path for change in list_changes(theirs, proposal.tree)]
     for path in list(dict.fromkeys(paths))[:MAX_CHANGES_SHOWN]:
         their_value = show_value(find_value(theirs, path))
         our_value = show_value(find_value(proposal.tree, path))
         yield f"    {path}: theirs {their_value}, yours {our_value}"
     yield (
-        f"take theirs with `lavendergap settings get --settings {file}`, make your "
-        f"edit on it and apply it with --base {version}"
+        f"get theirs with `lavendergap settings get --settings {file}`, repeat your "
+        f"edit in it and apply it with --base {version}"
     )
 
 
-def _list_since(head: SettingsObject, base: int) -> tuple[Edit, ...]:
-    """Return the edits since `base`, or none where the history does not reach it."""
+def _list_edits_since(head: SettingsObject, base: int) -> tuple[Edit, ...]:
+    """Return the edits since `base`, or none if the history does not reach it."""
     since = tuple(edit for edit in head.edits if edit.base >= base)
     return since if since and since[0].base == base else ()
 
--- a/src/lavendergap/commands/console.py
+++ b/src/lavendergap/commands/console.py
@@ -1,4 +1,4 @@
-"""What the commands write: tables at a terminal, JSON for programs, errors."""
+"""Output of the commands: JSON, notes and tables."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,18 +7,18 @@
 
 
 def print_json(value: object) -> None:
-    """Write `value` as one line of JSON on stdout."""
+    """Write `value` to stdout as one line of JSON."""
     click.echo(msgspec.json.encode(value).decode())
 
 
 def print_note(text: str) -> None:
-    """Write a line for people on stderr, so that stdout stays clean."""
+    """Write a message to stderr, so that stdout holds only the output."""
     click.echo(text, err=True)
 
 
 def print_table(columns: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Write a table on stdout; one that is not a terminal gets no colours."""
-    # Imported here: the daemon has no use for it and would hold it in memory.
+    """Write a table to stdout, with colours only at a terminal."""
+    # Imported here, since the daemon does not need it in memory.
     from rich.console import Console
     from rich.table import Table
     from rich.text import Text
@@ -27,12 +27,12 @@
     for column in columns:
         table.add_column(column, overflow="fold")
     for row in rows:
-        # As text: names and messages may hold what rich takes for markup.
+        # As Text, since rich would interpret markup in names and messages.
         table.add_row(*(Text(str(cell)) for cell in row))
     console = Console()
     if not console.is_terminal:
-        console.width = _PIPE_WIDTH
+        console.width = _PIPE_WIDTH_COLUMNS
     console.print(table)
 
 
-_PIPE_WIDTH = 160
+_PIPE_WIDTH_COLUMNS = 160
--- a/src/lavendergap/commands/entry.py
+++ b/src/lavendergap/commands/entry.py
@@ -6,18 +6,20 @@
 
 from ..logs import LogFormat, configure_logs
 from ..state.tree import load_settings
-from .options import take_settings
+from .options import settings_option
 
 
 @click.command()
-@take_settings
-@click.option("--host", required=True, metavar="NAME", help="This host's name there.")
+@settings_option
+@click.option(
+    "--host", required=True, metavar="NAME", help="This host's name in the settings."
+)
 @click.option(
     "--log-level",
     type=click.Choice(["debug", "info", "warning", "error"]),
     default="info",
     show_default=True,
-    help="The least level that is logged.",
+    help="The lowest level that is logged.",
 )
 @click.option(
     "--log-format",
@@ -36,11 +38,11 @@
 ) -> None:
     """Serve callers on this entry host until SIGTERM.
 
-    The host's addresses and data centre come from FILE. Newer settings are taken
-    from the platform or from peers; FILE is only where it starts from.
+    The host's addresses and data centre are read from FILE. Newer settings come
+    from the platform or from peers and replace those of FILE.
     """
     settings = load_settings(settings_path)
-    # Imported here: no other command needs the daemon.
+    # Imported here, since no other command needs the daemon.
     from ..entry.daemon import run_entry
 
     handler = configure_logs(
--- a/src/lavendergap/commands/explain.py
+++ b/src/lavendergap/commands/explain.py
@@ -1,4 +1,4 @@
-"""`lavendergap explain`: from the hosts' logs to what callers got, and why."""
+"""`lavendergap explain`: evaluates the hosts' logs to explain how requests ended."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -10,44 +10,46 @@
 from ..protocol.account import Account, End
 from ..protocol.loglines import LogLine, read_line
 from .console import print_json, print_note, print_table
-from .options import take_json
+from .options import json_option
 
-MAX_STORY = 10_000
-"""Lines of one request that are shown; a search over 500 shards leaves some hundred."""
+MAX_LINES_SHOWN = 10_000
+"""The limit for the lines of a request; a large search logs some hundred."""
 
-N_CAUSES = 5
-N_SECONDS = 8
+N_CAUSES_SHOWN = 5
+N_SECONDS_SHOWN = 8
 
-_ROUTES = ("ROUTE", "ASKED", *map(str.upper, End), "PARTIAL", "P50 MS", "P99 MS")
+_ROUTE_COLUMNS = ("ROUTE", "ASKED", *map(str.upper, End), "PARTIAL", "P50 MS", "P99 MS")
 
 
 @click.command()
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace", lazy=True))
 @click.option(
-    "--request", "request_id", metavar="ID", help="Tell this request's story."
+    "--request", "request_id", metavar="ID", help="Show the lines of this request."
 )
 @click.option(
-    "--content", metavar="ID", help="Tell what spoke against a content, and when."
+    "--content",
+    metavar="ID",
+    help="Show the requests of this content under which servers ended.",
 )
-@take_json
+@json_option
 def explain(
     logs: tuple[Any, ...], request_id: str | None, content: str | None, as_json: bool
 ) -> None:
-    """Tell from LOGS what became of callers' requests, and why.
+    """Show from LOGS how callers' requests ended, and why.
 
     LOGS are the JSON lines of any number of hosts, in files or, as `-`, on standard
-    input. Shown are, by route, how requests ended and where the lost ones lost their
-    time; the seconds in which most were lost; with --request the lines of one request
-    on all hosts, in their order; with --content, as `done` names it, those of all
-    requests of one content under which servers ended.
+    input. The output lists, by route, how requests ended and why requests were lost,
+    and the seconds with the most lost requests. With --request, it lists the lines of
+    one request on all hosts in order of time. With --content, an id from `done` lines,
+    it lists those of all requests of one content under which servers ended.
     """
     if not logs:
         raise click.UsageError("name the hosts' log files, or - for standard input")
     if request_id is not None:
-        _tell_story(logs, "request_id", request_id, as_json=as_json)
+        _show_lines(logs, "request_id", request_id, as_json=as_json)
         return
     if content is not None:
-        _tell_story(logs, "content", content, as_json=as_json)
+        _show_lines(logs, "content", content, as_json=as_json)
         return
     account = Account()
     for line in _read(logs):
@@ -74,28 +76,35 @@
                 yield read_line(text, host=host)
 
 
-def _tell_story(
+def _show_lines(
     logs: tuple[Any, ...], field: str, wanted: str, *, as_json: bool
 ) -> None:
-    story = []
-    # Most lines are of other requests; those are not decoded.
+    matching = []
+    # Lines without the id are skipped before decoding, which is slow.
     for log in logs:
         host = Path(log.name).stem
         found = (read_line(text, host=host) for text in log if wanted in text)
-        story += [line for line in found if line and line.fields.get(field) == wanted]
-        if len(story) > MAX_STORY:
-            raise LavendergapError(f"over {MAX_STORY} lines tell of {wanted!r}")
-    if not story:
+        matching += [
+            line for line in found if line and line.fields.get(field) == wanted
+        ]
+        if len(matching) > MAX_LINES_SHOWN:
+            raise LavendergapError(
+                f"more than {MAX_LINES_SHOWN} lines match {wanted!r}"
+            )
+    if not matching:
         raise LavendergapError(f"no line tells of {wanted!r}")
-    story.sort(key=lambda line: line.time)
+    matching.sort(key=lambda line: line.time)
     if as_json:
-        print_json([{"host": line.host, **line.fields} for line in story])
+        print_json([{"host": line.host, **line.fields} for line in matching])
         return
-    rows = [(line.time, line.host, line.event, _join(line, field)) for line in story]
+    rows = [
+        (line.time, line.host, line.event, _format_fields(line, field))
+        for line in matching
+    ]
     print_table(("TIME", "HOST", "EVENT", "INPUTS"), rows)
 
 
-def _join(line: LogLine, wanted_field: str) -> str:
+def _format_fields(line: LogLine, wanted_field: str) -> str:
     known = {"time", "level", "logger", "event", wanted_field}
     return " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in known)
 
@@ -121,7 +130,7 @@
                 "lost": second.n_lost,
                 "beliefs": dict(second.beliefs.most_common()),
             }
-            for at, second in account.list_worst_seconds(N_SECONDS)
+            for at, second in account.list_worst_seconds(N_SECONDS_SHOWN)
         },
     }
 
@@ -133,9 +142,9 @@
         ends = [route.ends[end] for end in End]
         quantiles = (route.get_quantile_ms(0.5), route.get_quantile_ms(0.99))
         rows.append((name, route.n_asked, *ends, route.n_partial, *quantiles))
-        for cause, n_times in route.causes.most_common(N_CAUSES):
+        for cause, n_times in route.causes.most_common(N_CAUSES_SHOWN):
             causes.append((name, n_times, cause))
-    print_table(_ROUTES, rows)
+    print_table(_ROUTE_COLUMNS, rows)
     if causes:
         print_table(("ROUTE", "TIMES", "CAUSE"), causes)
     seconds = [
@@ -143,9 +152,9 @@
             at,
             second.n_asked,
             second.n_lost,
-            _join_beliefs(second.beliefs.most_common(4)),
+            _format_changes(second.beliefs.most_common(4)),
         )
-        for at, second in account.list_worst_seconds(N_SECONDS)
+        for at, second in account.list_worst_seconds(N_SECONDS_SHOWN)
     ]
     if seconds:
         print_table(("WORST SECONDS", "ASKED", "LOST", "BELIEFS THAT CHANGED"), seconds)
@@ -153,5 +162,5 @@
         print_note(f"{account.n_bad} lines were no log lines")
 
 
-def _join_beliefs(beliefs: list[tuple[str, int]]) -> str:
+def _format_changes(beliefs: list[tuple[str, int]]) -> str:
     return ", ".join(f"{n_times} x {event}" for event, n_times in beliefs)
--- a/src/lavendergap/commands/hosts.py
+++ b/src/lavendergap/commands/hosts.py
@@ -1,4 +1,4 @@
-"""Asks entry hosts over their admin ports."""
+"""Queries the status of entry hosts over their admin ports."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from ..state.settings import Host
 from ..transport.exchange import Exchange, Lost
 
-STATUS_LIMIT_S = 1.0
+STATUS_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unreachable:
-    """A host that gave no status, and why."""
+    """A host without a valid status, and the reason."""
 
     reason: str
     state: str = "unreachable"
@@ -25,10 +25,10 @@
 
 
 async def fetch_status(host: Host) -> HostAnswer:
-    """Return what `host` says of itself, within a second."""
+    """Return the status of `host`, within `STATUS_TIMEOUT_S`."""
     exchange = Exchange(address=host.admin)
     try:
-        reply = await exchange.call("GET", "/status", limit_s=STATUS_LIMIT_S)
+        reply = await exchange.call("GET", "/status", limit_s=STATUS_TIMEOUT_S)
     finally:
         await exchange.aclose()
     if isinstance(reply, Lost):
@@ -36,14 +36,14 @@
     try:
         status = msgspec.json.decode(reply.body, type=HostStatus)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Unreachable(reason=f"no status but {reply.status}: {error}")
+        return Unreachable(reason=f"invalid status, HTTP {reply.status}: {error}")
     if status.host != host.name:
         return Unreachable(reason=f"another host, {status.host}, answers there")
     return status
 
 
 async def fetch_all(hosts: Iterable[Host]) -> dict[str, HostAnswer]:
-    """Return the status of each host by name, asked side by side."""
+    """Query all hosts concurrently; return their status by name."""
     found: dict[str, HostAnswer] = {}
 
     async def fetch(host: Host) -> None:
--- a/src/lavendergap/commands/main.py
+++ b/src/lavendergap/commands/main.py
@@ -1,4 +1,4 @@
-"""The command line: its group of commands, its errors and exit codes."""
+"""The command line: its commands, error messages and exit codes."""
 
 import os
 import sys
@@ -16,8 +16,8 @@
 from .settings import settings
 from .status import status
 
-_BROKEN_PIPE = 1
-_INTERRUPTED = 130
+_EXIT_BROKEN_PIPE = 1
+_EXIT_INTERRUPTED = 130
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -26,14 +26,14 @@
     "--debug",
     metavar="CATEGORIES",
     callback=parse_categories,
-    help=f"Log what is decided: all, or some of {', '.join(Category)}.",
+    help=f"Log decisions: all, or some of {', '.join(Category)}.",
 )
 def cli(debug: tuple[Category, ...]) -> None:
     """Query a library that is split across very many shards.
 
-    Operators drive lavendergap by editing a tree of settings; `settings` checks and
-    applies them, `entry` is the daemon on each entry host, `query` and `status` ask
-    the hosts, and `explain` reads their logs.
+    Operators control lavendergap by editing a tree of settings. `settings` checks
+    and applies them, `entry` is the daemon on each entry host, `query` and `status`
+    send requests to the hosts, and `explain` evaluates their logs.
 
     Exit codes: 0 done, 1 failed, 2 bad settings or usage, 3 nobody could be reached,
     4 another operator's edit came first, 5 not in force everywhere in time.
@@ -57,13 +57,14 @@
         click.echo(f"lavendergap: {error}", err=True)
         return error.exit_code
     except (click.Abort, KeyboardInterrupt):
-        return _INTERRUPTED
+        return _EXIT_INTERRUPTED
     except BrokenPipeError:
-        # The reader, such as `head`, has gone; python would complain at its end.
+        # The reader, such as `head`, has exited. Python would report an error when
+        # it flushes stdout at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return _BROKEN_PIPE
+        return _EXIT_BROKEN_PIPE
     except OSError as error:
-        # An address in use, a file that cannot be written; the text names it.
+        # Such as an address in use or a file that cannot be written.
         click.echo(f"lavendergap: {error}", err=True)
         return LavendergapError.exit_code
     return result if isinstance(result, int) else 0
--- a/src/lavendergap/commands/options.py
+++ b/src/lavendergap/commands/options.py
@@ -11,8 +11,8 @@
 _Command = TypeVar("_Command", bound=Callable[..., Any])
 
 
-def take_settings(command: _Command) -> _Command:
-    """Add --settings, a file that says where the platform and the hosts are."""
+def settings_option(command: _Command) -> _Command:
+    """Add --settings, a file with the addresses of the platform and the hosts."""
     return click.option(
         "--settings",
         "settings_path",
@@ -25,7 +25,7 @@
     )(command)
 
 
-def take_json(command: _Command) -> _Command:
+def json_option(command: _Command) -> _Command:
     """Add --json."""
     return click.option(
         "--json", "as_json", is_flag=True, help="Write JSON for programs."
@@ -35,7 +35,7 @@
 def parse_categories(
     _context: click.Context, _parameter: click.Parameter, text: str | None
 ) -> tuple[Category, ...]:
-    """Turn "route,settings" into categories; "all" stands for every one."""
+    """Parse a list of categories such as "route,settings", or "all"."""
     if not text:
         return ()
     if text == "all":
--- a/src/lavendergap/commands/publishing.py
+++ b/src/lavendergap/commands/publishing.py
@@ -1,9 +1,9 @@
-"""Writes an edit of the settings to the platform, once, and learns what became of it.
+"""Writes an edit of the settings to the platform at most once.
 
-The write is conditional on the version that the edit was made from, so that of two
-operators who race one is refused. It carries the edit's own id, so that a lost reply
-leaves no doubt: the object read back has the id among its edits, or it has moved past
-the base without it and the write can never take effect any more.
+The write is conditional on the version that the edit is based on, so that only one of
+two concurrent edits is accepted. The object contains the ids of its edits, so that the
+outcome of a write without a reply can be found by reading the object back: either it
+contains the edit's id, or it has a newer version and the write can no longer succeed.
 """
 
 import logging
@@ -34,17 +34,17 @@
     Unavailable,
 )
 
-RETRY_S = 0.25
+RETRY_DELAY_S = 0.25
 
 _logger = get_logger(Category.SETTINGS)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Proposal:
-    """An edit that an operator wants: the whole new text and the version it is from.
+    """An edit to publish: the complete new text and the version it is based on.
 
-    `base` is 0 for the first settings of a deployment. `tree` is the raw tree in
-    `text`, `settings` what it states once checked.
+    `base` is 0 for the first settings of a deployment. `tree` is the parsed `text`,
+    and `settings` are the checked settings from it.
     """
 
     key: str
@@ -60,21 +60,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """The edit took effect and made this version."""
+    """The edit was accepted as this version."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unchanged:
-    """The platform has this very text already; nothing was written."""
+    """The platform already has this text; nothing was written."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Overtaken:
-    """Another edit came first; nothing was written. `head` is what is in place."""
+class EditConflict:
+    """Another edit came first; nothing was written. `head` is the current object."""
 
     version: int
     head: SettingsObject
@@ -82,45 +82,45 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotWritten:
-    """The edit did not take effect and never will, for this reason."""
+    """The edit was not accepted and will not be."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unresolved:
-    """The edit may have taken effect; the platform could not be read in time."""
+    """The edit may have been accepted; the object could not be read back in time."""
 
     reason: str
 
 
-Publication = Accepted | Unchanged | Overtaken | NotWritten | Unresolved
+Publication = Accepted | Unchanged | EditConflict | NotWritten | Unresolved
 
 
 async def publish(
     client: PlatformClient, proposal: Proposal, *, limit_s: float
 ) -> Publication:
-    """Write `proposal` and return what became of it, within `limit_s` seconds.
+    """Write `proposal` and return the outcome, within `limit_s` seconds.
 
-    Raises ObjectError where the platform's object is garbled or would be too large.
+    Raises ObjectError if the platform's object is invalid or would be too large.
     """
     publisher = _Publisher(client=client, proposal=proposal)
     with trio.move_on_after(limit_s):
         return await publisher.run()
-    return publisher.give_up(publisher.trouble)
+    return publisher.give_up(publisher.last_problem)
 
 
 class _Publisher:
-    """One attempt to publish; `may_be_stored` once a write may have taken effect."""
+    """One publication; `may_be_stored` is whether a write may have taken effect."""
 
     def __init__(self, *, client: PlatformClient, proposal: Proposal) -> None:
         self.client = client
         self.proposal = proposal
         self.may_be_stored = False
-        self.trouble = "the platform did not answer in time"
+        self.last_problem = "the platform did not answer in time"
 
     async def run(self) -> Publication:
-        """Read the base, write, and resolve the write if its reply is lost."""
+        """Read the base, write, and read back after a conflict or a lost reply."""
         start = await self._read_base()
         if not isinstance(start, SettingsObject):
             return start
@@ -139,14 +139,14 @@
                     reason = f"the platform refuses it with {status}: {message}"
                     return self.give_up(reason)
                 case Unavailable():
-                    # The same bytes under the same condition take effect at most
-                    # once, so that trying again is safe and settles the matter.
+                    # Because of the condition, the same write takes effect at most
+                    # once, so that a retry is safe.
                     self.may_be_stored = self.may_be_stored or outcome.sent
                     await self._pause(outcome)
 
     def give_up(self, reason: str) -> NotWritten | Unresolved:
-        """Return what is known of the edit when nothing more can be done."""
-        # A refusal speaks of this write alone; one before it may be in force.
+        """Return the outcome after a failure that ends the publication."""
+        # A refusal concerns the last write only; an earlier one may be in force.
         if self.may_be_stored:
             return Unresolved(reason=reason)
         return NotWritten(reason=reason)
@@ -162,16 +162,16 @@
                 return NotWritten(reason=f"{missing}; write the first with --base 0")
             version, value = head
             if version > base:
-                return Overtaken(version=version, head=value)
+                return EditConflict(version=version, head=value)
             if version == base:
                 if value.text == self.proposal.text:
                     return Unchanged(version=version)
                 return value
-            self.trouble = f"the platform shows version {version}, before the base"
-            await trio.sleep(RETRY_S)
+            self.last_problem = f"the platform shows version {version}, before the base"
+            await trio.sleep(RETRY_DELAY_S)
 
     async def _read_head(self) -> tuple[int, SettingsObject] | None:
-        """Return the object in place and its version, or None where there is none."""
+        """Return the current version and object, or None if there is none."""
         while True:
             found = await self.client.get(self.proposal.key)
             match found:
@@ -181,8 +181,8 @@
                 case Missing():
                     return None
                 case Refused(status=status):
-                    self.trouble = f"the platform refuses the read with {status}"
-                    await trio.sleep(RETRY_S)
+                    self.last_problem = f"the platform refuses the read with {status}"
+                    await trio.sleep(RETRY_DELAY_S)
                 case Unavailable():
                     await self._pause(found)
 
@@ -202,30 +202,30 @@
         return encode_settings_object(value)
 
     async def _resolve(self, current: int | None) -> Publication:
-        """Find out whose edit the condition ran into: perhaps our own."""
+        """Determine which edit caused the conflict, possibly this one itself."""
         while True:
             head = await self._read_head()
-            # A stale read shows the object as it was before the write it ran into.
+            # A stale read may return the object from before the conflicting write.
             if head is not None and head[0] >= (current or self.proposal.base + 1):
-                return self._judge(*head)
-            self.trouble = "the platform's reads lag behind its writes"
-            await trio.sleep(RETRY_S)
+                return self._classify_conflict(*head)
+            self.last_problem = "the platform's reads lag behind its writes"
+            await trio.sleep(RETRY_DELAY_S)
 
-    def _judge(self, version: int, head: SettingsObject) -> Publication:
+    def _classify_conflict(self, version: int, head: SettingsObject) -> Publication:
         ids = [edit.id for edit in head.edits]
         if self.proposal.id in ids:
             later = head.edits[ids.index(self.proposal.id) + 1 :]
-            # The edit after ours was made from the version that ours had made.
+            # The next edit is based on the version that this edit created.
             return Accepted(version=later[0].base if later else version)
         reaches_back = len(ids) < MAX_EDITS or head.edits[0].base <= self.proposal.base
         if self.may_be_stored and not reaches_back:
             reason = f"over {MAX_EDITS} edits came since; the history ends before it"
             return Unresolved(reason=reason)
-        return Overtaken(version=version, head=head)
+        return EditConflict(version=version, head=head)
 
     async def _pause(self, outcome: Unavailable) -> None:
-        self.trouble = f"{outcome.peer}, step {outcome.step}: {outcome.reason}"
-        await trio.sleep(max(RETRY_S, outcome.retry_after_s))
+        self.last_problem = f"{outcome.peer}, step {outcome.step}: {outcome.reason}"
+        await trio.sleep(max(RETRY_DELAY_S, outcome.retry_after_s))
 
     def _log(self, event: str, *, outcome: object) -> None:
         log_decision(
--- a/src/lavendergap/commands/query.py
+++ b/src/lavendergap/commands/query.py
@@ -1,4 +1,4 @@
-"""`lavendergap query`: asks a service as a caller would, and shows the coverage."""
+"""`lavendergap query`: sends a request like a caller and shows the coverage."""
 
 import random
 from http import HTTPStatus
@@ -15,26 +15,31 @@
 from ..state.tree import load_settings
 from ..transport.exchange import Exchange, Lost, Reply
 from .console import print_note, print_table
-from .options import take_json, take_settings
+from .options import json_option, settings_option
 
 ANSWER_MARGIN_S = 2.0
-"""How much longer than its deadline a request may take before we stop listening."""
+"""How long after its deadline the answer to a request is still accepted."""
 
-_MAX_RESULT_SHOWN = 200
+_MAX_RESULT_CHARACTERS = 200
 
 
 @click.command()
-@take_settings
+@settings_option
 @click.argument("service")
 @click.option("--body", default="{}", show_default=True, help="The query, as JSON.")
 @click.option(
     "--deadline-ms",
     type=click.IntRange(min=1),
-    help="When the answer is due; the service's own deadline by default.",
+    help="The deadline of the answer; the service's own by default.",
 )
-@click.option("--host", "host_name", metavar="NAME", help="Ask this entry host only.")
-@click.option("--ticket", help="Ask again what became of a request with this ticket.")
-@take_json
+@click.option(
+    "--host",
+    "host_name",
+    metavar="NAME",
+    help="Send the request to this entry host only.",
+)
+@click.option("--ticket", help="Repeat a request with its ticket to get its outcome.")
+@json_option
 def query(
     settings_path: Path,
     service: str,
@@ -44,10 +49,10 @@
     ticket: str | None,
     as_json: bool,
 ) -> None:
-    """Ask SERVICE through an entry host and show the answer with its coverage.
+    """Query SERVICE through an entry host and show the answer with its coverage.
 
-    A service that is not idempotent takes a ticket first. If the answer is lost, ask
-    again with the same --ticket: the request still runs at most once.
+    For a service that is not idempotent, a ticket is taken first. If the answer is
+    lost, repeat the command with that --ticket: the request runs at most once.
     """
     _check_body(body)
     settings = load_settings(settings_path)
@@ -55,16 +60,16 @@
     if asked is None:
         known = ", ".join(s.name for s in settings.services)
         raise click.UsageError(f"there is no service {service!r}; known: {known}")
-    inquiry = _Inquiry(
+    request = _Request(
         hosts=_choose_hosts(settings, host_name),
         service=asked,
         body=body.encode(),
         deadline_ms=deadline_ms or asked.deadline_ms,
     )
     if asked.idempotent:
-        reply = trio.run(inquiry.search)
+        reply = trio.run(request.search)
     else:
-        reply = trio.run(inquiry.run, ticket)
+        reply = trio.run(request.run, ticket)
     _show(reply, as_json=as_json)
 
 
@@ -85,8 +90,8 @@
     return [host]
 
 
-class _Inquiry:
-    """One request of a caller, brought to the hosts in turn until one answers."""
+class _Request:
+    """One request that is sent to the hosts in turn until one answers."""
 
     def __init__(
         self, *, hosts: list[Host], service: Service, body: bytes, deadline_ms: int
@@ -123,14 +128,14 @@
         if ticket is not None:
             headers["Ticket"] = ticket
         path = f"/v1/services/{self.service.name}/{what}"
-        troubles = []
+        failures = []
         for host in self.hosts:
             reply = await self._post(host, path, headers)
             if isinstance(reply, Reply):
                 return reply
-            troubles.append(f"{host.name} (step {reply.step}: {reply.reason})")
+            failures.append(f"{host.name} (step {reply.step}: {reply.reason})")
         raise UnreachableError(
-            f"no entry host answers: {', '.join(troubles)}; see `lavendergap status`"
+            f"no entry host answers: {', '.join(failures)}; see `lavendergap status`"
         )
 
     async def _post(
@@ -153,13 +158,13 @@
     if as_json:
         click.echo(reply.body.decode("utf-8", "replace"))
     if reply.status != HTTPStatus.OK:
-        raise LavendergapError(_explain(reply))
+        raise LavendergapError(_format_refusal(reply))
     if as_json:
         return
     try:
         answer = msgspec.json.decode(reply.body, type=SearchBody)
     except msgspec.ValidationError:
-        # A request that ran once answers with its result alone.
+        # The answer to a request that runs once has a result and no coverage.
         _show_run(msgspec.json.decode(reply.body))
         return
     _show_search(answer)
@@ -190,17 +195,17 @@
 
 def _shorten(result: bytes) -> str:
     text = result.decode("utf-8", "replace")
-    if len(text) <= _MAX_RESULT_SHOWN:
+    if len(text) <= _MAX_RESULT_CHARACTERS:
         return text
-    return f"{text[:_MAX_RESULT_SHOWN]}..."
+    return f"{text[:_MAX_RESULT_CHARACTERS]}..."
 
 
-def _explain(reply: Reply) -> str:
+def _format_refusal(reply: Reply) -> str:
     try:
         body = msgspec.json.decode(reply.body, type=RefusalBody)
     except msgspec.MsgspecError:
         return f"the entry host answers {reply.status}: {_shorten(reply.body)}"
     return (
         f"request {body.request_id}: {body.outcome}; {body.reason} at step "
-        f"{body.step}, {body.peer}; come back in {body.retry_after_ms} ms"
+        f"{body.step}, {body.peer}; retry after {body.retry_after_ms} ms"
     )
--- a/src/lavendergap/commands/rollout.py
+++ b/src/lavendergap/commands/rollout.py
@@ -1,4 +1,4 @@
-"""Waits until every entry host has a version of the settings in force."""
+"""Waits until a version of the settings is in force on every entry host."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 from ..state.settings import Host
 from .hosts import HostAnswer, fetch_status
 
-POLL_S = 0.25
-MAX_CALLS = 50
-"""Hosts asked at once; a fleet of hundreds must not meet the limit of open files."""
+POLL_INTERVAL_S = 0.25
+MAX_CONCURRENT_CALLS = 50
+"""Keeps the number of open sockets of a large fleet below the limit of open files."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rollout:
-    """Who has the version in force, and why each of the others does not."""
+    """The hosts that have a version in force, and why the others do not."""
 
     version: int
     in_force: tuple[str, ...]
@@ -37,24 +37,24 @@
     read_newest: Callable[[], Awaitable[int | None]],
     report: Callable[[Rollout], None],
 ) -> Rollout:
-    """Ask `hosts` until all have `version`, or a newer one, in force.
+    """Poll `hosts` until all have `version` or a newer one in force.
 
-    Each edit is made from the one before, so that a newer version holds this one
-    too, if the platform has it: `read_newest` returns the version that it holds,
-    or None where it cannot be asked. `report` is told whenever something has
-    changed. Returns the last state after `limit_s` seconds at the latest.
+    Each edit is based on the previous one, so that a newer version includes this one
+    if the platform has it. `read_newest` returns the platform's version, or None if
+    the platform does not answer. `report` is called after every change. Returns the
+    last state after at most `limit_s` seconds.
     """
     waiting = {host.name: "not asked yet" for host in hosts}
-    limiter = trio.CapacityLimiter(MAX_CALLS)
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_CALLS)
 
     def describe() -> Rollout:
         in_force = tuple(host.name for host in hosts if host.name not in waiting)
         return Rollout(version=version, in_force=in_force, waiting=dict(waiting))
 
-    async def ask(host: Host) -> None:
+    async def poll(host: Host) -> None:
         async with limiter:
             answer = await fetch_status(host)
-        why = _explain(answer, version)
+        why = _explain_missing(answer, version)
         if not why and isinstance(answer, HostStatus):
             found = answer.settings.version
             if found > version:
@@ -69,16 +69,16 @@
             async with trio.open_nursery() as nursery:
                 for host in hosts:
                     if host.name in waiting:
-                        nursery.start_soon(ask, host)
+                        nursery.start_soon(poll, host)
             if describe() != last:
                 last = describe()
                 report(last)
             if waiting:
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
     return describe()
 
 
-def _explain(answer: HostAnswer, version: int) -> str:
+def _explain_missing(answer: HostAnswer, version: int) -> str:
     """Return why the host does not have `version` in force, or ""."""
     match answer:
         case HostStatus(settings=settings):
@@ -92,16 +92,18 @@
 
 
 def _explain_newer(found: int, newest: int | None) -> str:
-    """Return why a host with a newer version may lack this edit, or "".
+    """Return why a host with a newer version may not have this edit, or "".
 
-    A platform restored from a backup counts from a lower version. Hosts keep what
-    they have, so that "in force" would be said of an edit that no host will take.
+    A platform restored from a backup counts from a lower version. Hosts keep their
+    newer settings, and an edit that no host accepts would be reported as in force.
     """
     if newest is None:
-        return f"version {found}; the platform cannot be asked whether it holds this"
+        return (
+            f"version {found}; the platform does not answer whether it has this version"
+        )
     if found > newest:
         return (
             f"version {found}, newer than the platform's {newest}: was the platform "
-            "set back?"
+            "restored from a backup?"
         )
     return ""
--- a/src/lavendergap/commands/settings.py
+++ b/src/lavendergap/commands/settings.py
@@ -1,4 +1,4 @@
-"""`lavendergap settings`: check, show, get and apply settings, and their history."""
+"""`lavendergap settings`: checks, shows, gets and applies settings."""
 
 import difflib
 from dataclasses import asdict
@@ -21,7 +21,7 @@
 from ..transport.platform import Found, Missing, PlatformClient, Refused, Unavailable
 from .apply import apply
 from .console import print_json, print_note, print_table
-from .options import take_json, take_settings
+from .options import json_option, settings_option
 
 TOP = "(top)"
 
@@ -37,7 +37,7 @@
 @settings.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check FILE in full; tell every problem in it and exit with 2 if there is one."""
+    """Check FILE completely; show all problems and exit with 2 if there are any."""
     found = load_settings(file)
     n_servers = sum(len(g.servers) for s in found.services for g in s.groups)
     click.echo(
@@ -49,13 +49,13 @@
 @settings.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.argument("branch", default="")
-@click.option("--live", is_flag=True, help="Show what the platform holds instead.")
-@take_json
+@click.option("--live", is_flag=True, help="Show the platform's settings instead.")
+@json_option
 def show(file: Path, branch: str, live: bool, as_json: bool) -> None:
-    """Show the options in force at BRANCH of FILE and where each comes from.
+    """Show the options in force at BRANCH of FILE and where each is set.
 
     BRANCH is a path such as services.scheduler; without it, the top is shown. With
-    --live, FILE only says where the platform is.
+    --live, only the platform's address is read from FILE.
     """
     text: str | bytes = read_file(file)
     name = str(file)
@@ -68,13 +68,13 @@
 
 
 @settings.command()
-@take_settings
+@settings_option
 @click.option(
     "--output", type=click.Path(path_type=Path), help="Write the text to this file."
 )
-@take_json
+@json_option
 def get(settings_path: Path, output: Path | None, as_json: bool) -> None:
-    """Write the settings text that the platform holds, and its version on stderr."""
+    """Write the platform's settings text to stdout and its version to stderr."""
     version, value = trio.run(_read_live, load_settings(settings_path))
     if as_json:
         print_json({"version": version, "text": value.text})
@@ -86,10 +86,10 @@
 
 
 @settings.command()
-@take_settings
-@take_json
+@settings_option
+@json_option
 def history(settings_path: Path, as_json: bool) -> None:
-    """Show the last edits, newest first: who changed what, when and why."""
+    """Show the last edits, newest first: author, change, time and reason."""
     version, value = trio.run(_read_live, load_settings(settings_path))
     if as_json:
         edits = [asdict(edit) for edit in reversed(value.edits)]
@@ -126,7 +126,7 @@
             raise LavendergapError(f"the platform refuses {key}: {status} {message}")
         case Unavailable(step=step, reason=reason):
             raise UnreachableError(
-                f"the platform at {location.platform} gave no {key} (step {step}: "
+                f"the platform at {location.platform} returned no {key} (step {step}: "
                 f"{reason}); check the address, then try again"
             )
 
@@ -147,9 +147,9 @@
         options = [
             {
                 "name": name,
-                "value": _make_plain(found.value),
+                "value": _to_plain_value(found.value),
                 "unit": units[name],
-                "from": _name_source(found),
+                "from": _format_source(found),
             }
             for name, found in branch.options.items()
         ]
@@ -160,7 +160,7 @@
         return
     click.echo(f"{branch.path or TOP} ({branch.level})")
     rows = [
-        (name, _show_value(found.value), units[name], _name_source(found))
+        (name, _format_value(found.value), units[name], _format_source(found))
         for name, found in branch.options.items()
     ]
     if rows:
@@ -169,13 +169,13 @@
         click.echo("below: " + ", ".join(below))
 
 
-def _name_source(found: Resolved) -> str:
+def _format_source(found: Resolved) -> str:
     if found.source == DEFAULT:
         return "default"
     return found.source or TOP
 
 
-def _make_plain(value: Value) -> object:
+def _to_plain_value(value: Value) -> object:
     match value:
         case Address():
             return str(value)
@@ -186,8 +186,8 @@
     return value
 
 
-def _show_value(value: Value) -> str:
-    match _make_plain(value):
+def _format_value(value: Value) -> str:
+    match _to_plain_value(value):
         case bool(flag):
             return "true" if flag else "false"
         case dict(policy):
--- a/src/lavendergap/commands/status.py
+++ b/src/lavendergap/commands/status.py
@@ -1,4 +1,4 @@
-"""`lavendergap status`: what the entry hosts say of themselves."""
+"""`lavendergap status`: shows the state of the entry hosts."""
 
 from pathlib import Path
 
@@ -10,14 +10,14 @@
 from ..state.tree import load_settings
 from .console import print_json, print_table
 from .hosts import HostAnswer, fetch_all
-from .options import take_json, take_settings
+from .options import json_option, settings_option
 
 _COLUMNS = ("HOST", "DATA CENTRE", "STATE", "SETTINGS", "FROM", "LIVE", "PROBLEM")
 
 
 @click.command()
-@take_settings
-@take_json
+@settings_option
+@json_option
 def status(settings_path: Path, as_json: bool) -> None:
     """Show the state of every entry host and the settings it has in force."""
     hosts = load_settings(settings_path).hosts
--- a/src/lavendergap/errors.py
+++ b/src/lavendergap/errors.py
@@ -1,14 +1,14 @@
-"""The errors that a person may see; each message says what to do about it."""
+"""Errors that are shown to users; each message states how to fix the problem."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """One thing wrong in a settings file: where it stands and what was expected.
+    """One problem in a settings file: its location and what was expected.
 
-    `path` is the place in the tree, such as `services.scheduler.deadline_ms`, or
-    `line:column` where the text is no JSON at all.
+    `path` is the path in the tree, such as `services.scheduler.deadline_ms`, or
+    `line:column` if the text is not valid JSON.
     """
 
     file: str
@@ -20,19 +20,18 @@
 
 
 class LavendergapError(Exception):
-    """Base of all errors shown to a person as one line on stderr.
+    """Base class of all errors that the command line shows on stderr.
 
-    `exit_code` is what the command line ends with; see docs/operators/commands.md.
+    `exit_code` is the exit code of the command line; see docs/operators/commands.md.
     """
 
     exit_code = 1
 
 
 class SettingsError(LavendergapError):
-    """The settings cannot be used; nothing was started or written.
+    """The settings are invalid; nothing was started or written.
 
-    `problems` holds everything that is wrong, so that an operator mends a file in
-    one go.
+    `problems` lists all problems, so that an operator can fix them at once.
     """
 
     exit_code = 2
@@ -43,9 +42,9 @@
 
 
 class ObjectError(LavendergapError):
-    """An object of the platform, or its copy from a peer, is not what it should be.
+    """An object of the platform, or a peer's copy of it, is invalid.
 
-    Whoever reads it keeps what was in force before.
+    Readers keep the version that was in force before.
     """
 
     def __init__(self, *, key: str, problem: str) -> None:
@@ -55,18 +54,18 @@
 
 
 class UnreachableError(LavendergapError):
-    """No entry host, or no platform, answered in time."""
+    """No entry host answered in time, or the platform did not."""
 
     exit_code = 3
 
 
 class ConflictError(LavendergapError):
-    """Another operator's edit came first; the message shows what it changed."""
+    """The edit conflicts with a newer one; the message shows what that changed."""
 
     exit_code = 4
 
 
 class NotInForceError(LavendergapError):
-    """An accepted edit is not in force on every process within the time given."""
+    """An accepted edit is not in force on every host within the given time."""
 
     exit_code = 5
--- a/src/lavendergap/logs.py
+++ b/src/lavendergap/logs.py
@@ -1,13 +1,13 @@
-"""Writes what the program decides: one line for each decision, never blocking.
+"""Structured logs of decisions, one line for each, without blocking the event loop.
 
 Lines go to stderr through `logging`: one JSON object a line, or readable text when
-stderr is a terminal. A decision is logged with `log_decision` on the logger of its
-category::
+stderr is a terminal. A decision is logged with `log_decision` on its category's
+logger::
 
     route = get_logger(Category.ROUTE)
     log_decision(route, "plan", request_id="q-1", service="scheduler", n_shards=20)
 
-The measurement behind the choices made here is in docs/design/logging.md.
+docs/design/logging.md describes the design.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 PACKAGE_LOGGER = "lavendergap"
 STDERR = 2
 
-# What may wait for a reader that has stopped reading: about 200 plans of 85 shards.
-# It bridges a reader's short pause; a longer one costs lines, not answers.
+# The buffer for a reader that is slow or has stopped. When it is full, lines are
+# dropped and requests continue.
 MAX_PENDING_BYTES = 1 << 20
 
-CLOSE_S = 1.0
+CLOSE_TIMEOUT_S = 1.0
 FLUSH_INTERVAL_S = 0.2
 
 
 class Category(StrEnum):
-    """What a decision is about; each can be switched to debug level by its name."""
+    """The subject of a decision; each has a logger whose level can be set to debug."""
 
     ROUTE = "route"
     QUEUE = "queue"
@@ -51,7 +51,7 @@
 
 
 class LogFormat(StrEnum):
-    """How a line looks. `AUTO` is text at a terminal and JSON everywhere else."""
+    """The format of a line. `AUTO` is text at a terminal and JSON otherwise."""
 
     AUTO = "auto"
     JSON = "json"
@@ -59,7 +59,7 @@
 
 
 def get_logger(category: Category) -> logging.Logger:
-    """Return the logger on which decisions of this category are written."""
+    """Return the logger for decisions of this category."""
     return logging.getLogger(f"{PACKAGE_LOGGER}.{category}")
 
 
@@ -71,32 +71,32 @@
     level: int = logging.INFO,
     **fields: object,
 ) -> None:
-    """Write one line that tells a decision: `event`, its request and its `fields`.
+    """Log one decision: its `event`, its request and its `fields`.
 
-    Fields may be anything that msgspec encodes, data classes included; they are
-    encoded at once, and not at all when the level is off. `request_id` is None for
-    decisions that no request asked for, such as a member declared dead.
+    Fields may be of any type that msgspec encodes, including data classes. They are
+    encoded at once, or not at all when the level is disabled. `request_id` is None
+    for decisions without a request, such as the death of a member.
     """
     if not logger.isEnabledFor(level):
         return
     decision = {"event": event, "request_id": request_id, **fields}
-    # Built without logger.info(): that walks the stack to find the caller's line,
-    # and its `extra` forbids fields such as `name`.
+    # Not logger.info(), which walks the stack to find the calling line, and whose
+    # `extra` does not allow fields such as `name`.
     logger.handle(_make_record(logger.name, level, decision))
 
 
 class Output(Protocol):
-    """A place for bytes that takes what it can without waiting."""
+    """A destination for bytes that is written without blocking."""
 
     def fileno(self) -> int:
-        """Return the descriptor to wait on."""
+        """Return the file descriptor to wait on."""
 
     def write(self, data: bytes | memoryview) -> int:
-        """Take some of `data`, or none, and return how many bytes were taken."""
+        """Write all, some or none of `data`; return the number of bytes written."""
 
 
 class DescriptorOutput:
-    """Writes to a descriptor that is in non-blocking mode, or is a plain file."""
+    """Writes to a file descriptor that is non-blocking or a regular file."""
 
     def __init__(self, *, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -112,9 +112,10 @@
 
 
 class SocketOutput:
-    """Writes to a socket, as stderr is under some service managers.
+    """Writes to a socket, which stderr is under some service managers.
 
-    The mode belongs to each call: the socket may be shared with other processes.
+    Each call is made non-blocking by a flag, since other processes may share the
+    socket and its mode.
     """
 
     def __init__(self, *, stream: socket.socket) -> None:
@@ -131,13 +132,12 @@
 
 
 def open_output(descriptor: int) -> Output:
-    """Open what `descriptor` refers to for writing without waiting.
+    """Open the file of `descriptor` for non-blocking writes.
 
-    A pipe or terminal is opened anew, because O_NONBLOCK belongs to the open file
-    and not to the descriptor: set on the inherited one, it would also reach every
-    other process that shares it, such as the shell. Where it cannot be opened anew
-    (its permissions belong to another user), the descriptor is used as it is, and a
-    reader that stops can then stop this process.
+    A pipe or terminal is reopened, because O_NONBLOCK belongs to the open file and
+    not to the descriptor: set on the inherited one, it would affect all processes
+    that share it, such as the shell. Where reopening fails (for lack of permission),
+    the descriptor is used as it is, and a reader that stops may block this process.
     """
     if stat.S_ISSOCK(os.fstat(descriptor).st_mode):
         return SocketOutput(stream=socket.socket(fileno=os.dup(descriptor)))
@@ -145,23 +145,21 @@
     try:
         descriptor = os.open(f"/proc/self/fd/{descriptor}", flags)
     except OSError:
-        # Not a duplicate of it either: a platform that takes what is written to
-        # the standard descriptors may know them by their numbers, and every line
-        # would be lost without a sign.
+        # Not a duplicate: a platform that captures the standard descriptors may
+        # identify them by number, and would silently lose every line.
         return DescriptorOutput(descriptor=descriptor)
     return DescriptorOutput(descriptor=descriptor)
 
 
 class LineWriter:
-    """Writes whole lines in order, and refuses new ones rather than wait.
-
-    Failure: whoever reads the log (a shipper, a pager, a terminal held with Ctrl-S)
-    stops reading and the pipe fills. Symptom with a plain write: the one loop stops
-    in write(2), so every query on this host hangs and its peers declare it dead.
-    Here lines wait in memory up to `max_pending` bytes, and what comes after is
-    refused. A line that was written in part is always finished first, so no line is
-    ever torn. A reader that is gone for good, or a full disk, is treated the same:
-    a daemon does not end for its log.
+    """Writes complete lines in order; drops new ones rather than block.
+
+    The reader of the log (a shipper, a pager, a terminal paused with Ctrl-S) may stop
+    reading, and the pipe fills. A blocking write would then stop the event loop: all
+    queries on this host would hang, and its peers would declare it dead. Up to
+    `max_pending` bytes of lines are buffered instead, and further lines are rejected.
+    A partly written line is always completed before the next one. A missing reader
+    and a full disk are handled in the same way.
     """
 
     def __init__(self, *, output: Output, max_pending: int = MAX_PENDING_BYTES) -> None:
@@ -171,30 +169,30 @@
 
     @property
     def n_pending_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """The number of buffered bytes."""
         return len(self._pending)
 
     def write(self, lines: bytes) -> bool:
-        """Write or keep whole lines; False when there is no room for them."""
+        """Write or buffer complete lines; return False if the buffer is full."""
         if self._pending and not self.flush():
             if len(self._pending) + len(lines) > self.max_pending:
                 return False
             self._pending += lines
             return True
-        n_taken = self._send(lines)
-        if n_taken < len(lines):
-            self._pending += lines[n_taken:]
+        n_written = self._send(lines)
+        if n_written < len(lines):
+            self._pending += lines[n_written:]
         return True
 
     def flush(self) -> bool:
-        """Write what is pending as far as the reader takes it; True when all went."""
+        """Write buffered bytes without blocking; return whether all were written."""
         with memoryview(self._pending) as view:
-            n_taken = self._send(view)
-        del self._pending[:n_taken]
+            n_written = self._send(view)
+        del self._pending[:n_written]
         return not self._pending
 
     def flush_within(self, limit_s: float) -> bool:
-        """Wait for the reader, at most `limit_s` seconds; for the end of a program."""
+        """Write buffered bytes for up to `limit_s` seconds; blocks, for use at exit."""
         deadline = time.monotonic() + limit_s
         while not self.flush():
             left_s = deadline - time.monotonic()
@@ -211,10 +209,10 @@
 
 
 class LineHandler(logging.Handler):
-    """Formats records, writes them without waiting, and counts those dropped.
+    """Formats records, writes them without blocking, and counts dropped ones.
 
-    The first line that finds room again is preceded by one that tells how many are
-    missing, so that a reader of the log never takes a gap for silence.
+    After a gap, the first line that fits the buffer is preceded by one with the number
+    of dropped lines, so that a gap is visible in the log.
     """
 
     def __init__(self, *, writer: LineWriter, formatter: logging.Formatter) -> None:
@@ -222,40 +220,40 @@
         self.setFormatter(formatter)
         self.writer = writer
         self.n_dropped = 0
-        self._n_unannounced = 0
+        self._n_unreported = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the record's line; one that cannot be formatted says so instead."""
+        """Write the record's line, or a line about the error if formatting fails."""
         try:
             lines = self._encode(record)
         except (TypeError, ValueError, RecursionError) as error:
-            # logging's own way is a traceback on stderr, through a write that waits.
+            # Handler.handleError would write a traceback to stderr, and may block.
             lines = self._encode(_describe_failure(record, error))
-        if self._n_unannounced:
-            lines = self._encode(_describe_gap(self._n_unannounced)) + lines
+        if self._n_unreported:
+            lines = self._encode(_describe_dropped(self._n_unreported)) + lines
         if self.writer.write(lines):
-            self._n_unannounced = 0
+            self._n_unreported = 0
         else:
             self.n_dropped += 1
-            self._n_unannounced += 1
+            self._n_unreported += 1
 
     def _encode(self, record: logging.LogRecord) -> bytes:
         return self.format(record).encode(errors="backslashreplace") + b"\n"
 
     def flush(self) -> None:
-        """Write what is pending as far as the reader takes it, without waiting."""
+        """Write buffered bytes without blocking."""
         self.writer.flush()
 
     def close(self) -> None:
-        """Give a slow reader a last, short chance, and say what is missing."""
-        if self.writer.flush_within(CLOSE_S) and self._n_unannounced:
-            self.writer.write(self._encode(_describe_gap(self._n_unannounced)))
-            self._n_unannounced = 0
+        """Write buffered bytes for up to `CLOSE_TIMEOUT_S`; report dropped lines."""
+        if self.writer.flush_within(CLOSE_TIMEOUT_S) and self._n_unreported:
+            self.writer.write(self._encode(_describe_dropped(self._n_unreported)))
+            self._n_unreported = 0
         super().close()
 
 
-def _describe_gap(n_missing: int) -> logging.LogRecord:
-    decision = {"event": "log lines dropped", "n_lines": n_missing}
+def _describe_dropped(n_dropped_lines: int) -> logging.LogRecord:
+    decision = {"event": "log lines dropped", "n_lines": n_dropped_lines}
     return _make_record(PACKAGE_LOGGER, logging.WARNING, decision)
 
 
@@ -271,7 +269,7 @@
 def _make_record(
     name: str, level: int, decision: Mapping[str, object]
 ) -> logging.LogRecord:
-    # logging allows any object as a message; its type stubs do not say so.
+    # logging allows any object as a message, but its type stubs do not.
     return logging.LogRecord(name, level, "", 0, decision, (), None)
 
 
@@ -283,25 +281,27 @@
 
 @lru_cache(maxsize=2)
 def _format_second(whole_s: int) -> str:
-    """Format a second once, and not for each of its lines."""
+    """Format seconds since the epoch; cached for the lines of the same second."""
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole_s))
 
 
 class JsonFormatter(MsgspecFormatter):
-    """One JSON object a line: time, level, logger, event, then the fields.
+    """Formats a record as a JSON object: time, level, logger, event, fields.
 
-    Decisions go straight to msgspec; all other records (the libraries' own, those
-    with a traceback) take the usual way of python-json-logger.
+    Decisions are encoded by msgspec directly. All other records (of libraries, or
+    with a traceback) are formatted by python-json-logger.
     """
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record's line."""
         if isinstance(record.msg, dict) and not record.exc_info:
-            return self.jsonify_log_record({**_build_head(record), **record.msg})
+            return self.jsonify_log_record(
+                {**_build_common_fields(record), **record.msg}
+            )
         return super().format(record)
 
     def process_log_record(self, log_data: dict[str, object]) -> dict[str, object]:
-        """Put a message under `event`, as in the lines of decisions."""
+        """Move the message to `event`, as in the lines of decisions."""
         if "message" in log_data:
             log_data["event"] = log_data.pop("message")
         return log_data
@@ -312,12 +312,12 @@
         record: logging.LogRecord,
         message_dict: dict[str, object],
     ) -> None:
-        """Start each line with its time, level and logger."""
-        log_data.update(_build_head(record))
+        """Add the time, level and logger before the other fields."""
+        log_data.update(_build_common_fields(record))
         super().add_fields(log_data, record, message_dict)
 
 
-def _build_head(record: logging.LogRecord) -> dict[str, object]:
+def _build_common_fields(record: logging.LogRecord) -> dict[str, object]:
     return {
         "time": format_time(record.created),
         "level": record.levelname.lower(),
@@ -326,7 +326,7 @@
 
 
 class TextFormatter(logging.Formatter):
-    """A line for people: time of day, level, logger, event, `field=value` ..."""
+    """Formats a record as text: time of day, level, logger, event, `field=value` ..."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record's line."""
@@ -346,7 +346,7 @@
     name, value = field
     if isinstance(value, str) and value.isprintable() and " " not in value:
         return f" {name}={value}"
-    # Encoded, so that a caller's request id cannot forge a second line.
+    # Encoded, so that a line break in a request id cannot forge a log line.
     return f" {name}={msgspec.json.encode(value, enc_hook=repr).decode()}"
 
 
@@ -359,10 +359,10 @@
 ) -> LineHandler:
     """Send all lines to `descriptor` and return the handler that writes them.
 
-    `level` is that of the project's own loggers; the libraries' are kept at
-    warnings. Each category in `debug` is set to debug level. To be called once, by
-    a program and not by those who embed the library; a second call replaces the
-    first. The handler's `n_dropped` belongs into the metrics.
+    `level` applies to this package's loggers; those of libraries are set to warning.
+    Each category in `debug` is set to debug level. For programs only, not for code
+    that embeds the library; a second call replaces the first. The handler's
+    `n_dropped` should be exported as a metric.
     """
     handler = LineHandler(
         writer=LineWriter(output=open_output(descriptor)),
@@ -388,9 +388,9 @@
 
 
 async def flush_logs(handler: LineHandler) -> None:
-    """Write pending lines as the reader takes them, until cancelled.
+    """Write buffered lines periodically until cancelled.
 
-    Without it they would wait for the next line, on a quiet host for long.
+    Otherwise they would remain buffered until the next line is logged.
     """
     while True:
         await trio.sleep(FLUSH_INTERVAL_S)
--- a/src/lavendergap/metrics.py
+++ b/src/lavendergap/metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of the daemon, by the name that operators scrape."""
+"""The metrics of the daemon."""
 
 from prometheus_client import REGISTRY, Counter, Gauge, Histogram
 
--- a/src/lavendergap/startup.py
+++ b/src/lavendergap/startup.py
@@ -1,4 +1,4 @@
-"""What has to happen before the program imports anything else."""
+"""Startup code that has to run before any other import of the program."""
 
 import ctypes.util
 import importlib
@@ -8,12 +8,10 @@
 def import_trio() -> None:
     """Import trio without starting another process.
 
-    Failure: trio 0.35 looks up the thread library as it is imported, and Python's
-    `ctypes.util.find_library` runs /sbin/ldconfig for that (gcc and ld where that
-    finds nothing). Symptom: each start of a program that may start no other process
-    starts one, and fails where that is forbidden. Told that there is no such
-    library, trio goes without names for its worker threads, which is all that it
-    wants the library for. The function is put back afterwards.
+    On import, trio 0.35 looks up the thread library with `ctypes.util.find_library`,
+    which runs /sbin/ldconfig, or gcc and ld. That fails where a program may start no
+    other process. While trio is imported, `find_library` therefore finds nothing;
+    trio needs the library only to name its worker threads.
     """
     find_library = ctypes.util.find_library
     ctypes.util.find_library = _find_nothing
@@ -24,11 +22,11 @@
 
 
 def _find_nothing(name: str) -> None:
-    """Stand for a system without libraries to be found."""
+    """Replace `find_library` with a lookup that finds no library."""
 
 
 def main() -> None:
-    """Run the command line as a program that starts no other process."""
+    """Run the command line without starting another process."""
     import_trio()
     from .commands.main import run
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -408,7 +408,7 @@
         host.answers = [make_json_reply(self.REFUSAL, status=503)]
         code, out, err = call("query", "search", "--host", "host-2")
         assert (code, out) == (1, "")
-        assert "r-1: not run; overloaded at step admit, host-1; come back in" in err
+        assert "r-1: not run; overloaded at step admit, host-1; retry after" in err
 
     def test_a_request_that_runs_once_takes_a_ticket(self, call, deployment):
         host = deployment.hosts["host-1"]
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -13,8 +13,8 @@
 
 from lavendergap.commands.publishing import (
     Accepted,
+    EditConflict,
     NotWritten,
-    Overtaken,
     Proposal,
     Unchanged,
     Unresolved,
@@ -135,7 +135,7 @@
         outcomes.sort(key=lambda outcome: type(outcome).__name__)
         accepted, overtaken = outcomes
         assert accepted == Accepted(version=2)
-        assert isinstance(overtaken, Overtaken)
+        assert isinstance(overtaken, EditConflict)
         assert overtaken.head.edits == (edit_in_place,)
 
     async def test_a_base_that_cannot_be(self, clock):
@@ -197,7 +197,7 @@
 
             place.on_write = overtake
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
-        assert isinstance(outcome, Overtaken)
+        assert isinstance(outcome, EditConflict)
         assert outcome.version == 2
 
     async def test_reads_that_lag_do_not_hide_an_accepted_edit(self, clock):
@@ -325,7 +325,7 @@
             match outcome:
                 case Accepted(version=version):
                     assert (id, version) in made
-                case Overtaken() | NotWritten() | Unchanged():
+                case EditConflict() | NotWritten() | Unchanged():
                     assert id not in ids
 
     def list_made(self, place):
