--- a/tests/headers.py
+++ b/tests/headers.py
@@ -1,4 +1,4 @@
-"""Header names that stand for a platform's, in tests that need none."""
+"""Header names for tests, in place of those of a platform."""
 
 from lavendergap.protocol.forwarding import HeaderNames
 
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Connections to a backend server: reuse, distrust, limits and proofs of not run."""
+"""Connections to a backend server: reuse, silent connections, limits and outcomes."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -37,13 +37,13 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """A clock that jumps only after a real pause, since data passes the kernel."""
     return MockClock(autojump_threshold=0.005)
 
 
 @dataclass
 class Request:
-    """One request as the server saw it, and on which of its connections."""
+    """A request that the server received, with the number of its connection."""
 
     connection: int
     path: str
@@ -51,7 +51,7 @@
 
 
 def answer(request: Request, *, body: bytes = b'{"hits": 3}', **changes: str) -> bytes:
-    """Write the answer that belongs to a request, with some headers changed."""
+    """Return the valid answer to a request, with some headers changed."""
     fields = {
         "Attempt": request.headers.get("attempt", ""),
         "Shard": request.headers.get("shard", ""),
@@ -66,7 +66,7 @@
 
 
 class FakeServer:
-    """Answers as `reply` says: bytes are sent, CLOSE closes, None stays silent."""
+    """Sends what `reply` returns; CLOSE closes the connection, None sends nothing."""
 
     def __init__(self):
         self.reply = answer
@@ -119,7 +119,7 @@
 
 @dataclass
 class Bench:
-    """A fake server and this process's connections to it."""
+    """A fake server and a client of it."""
 
     fake: FakeServer
     server: Server
@@ -174,17 +174,13 @@
 
 
 class TestReuse:
-    async def test_answered_connections_are_used_again(self):
+    async def test_connections_are_reused_after_an_answer(self):
         async with open_bench() as bench:
             assert [await bench.call() for _ in range(3)] == [ANSWERED] * 3
             assert bench.fake.n_connections == bench.client.n_open == 1
 
     async def test_a_connection_that_the_server_closed_is_not_used(self):
-        """A server closes idle connections; a call on one of them would be lost.
-
-        The close has arrived before the next call, so it can be seen: nothing is
-        sent there, and the caller sees no failure at all.
-        """
+        """A call on a connection that the server has closed would be lost."""
         async with open_bench() as bench:
             bench.fake.closes_after_reply = True
             await bench.call()
@@ -202,15 +198,12 @@
 
 class TestSilentConnection:
     @pytest.mark.parametrize(("idle", "expected"), [(2.0, 1.0), (0.5, 1.5)])
-    async def test_the_call_ends_in_time_for_another_and_siblings_go(
+    async def test_a_silent_connection_leaves_time_for_a_retry_and_idle_ones_close(
         self, idle, expected, clock
     ):
-        """Something between the ends lost track of all open connections.
+        """All open connections are silent, so that a call on one gets no answer.
 
-        The next call is sent on one of them and nothing ever comes back. It ends at
-        half its time, or at three quarters where the connection carried an answer
-        within the last second, so that the rest is left for a fresh connection; and
-        the idle sibling, which went through the same middle, is closed with it.
+        The call has to end early enough for a retry over a new connection.
         """
         async with open_bench() as bench:
             await bench.call_at_once(2)
@@ -224,10 +217,9 @@
             assert await bench.call(fresh=True) == ANSWERED
 
     async def test_a_straggler_is_not_taken_for_silence(self, clock):
-        """A server that answers all the time takes 0.6 of one call's time.
+        """A slow call on a recently used connection must not be cut off.
 
-        Taken for a silent connection the call would be cut, asked once more, and all
-        idle connections of a healthy server closed.
+        It would be retried, and all idle connections of a healthy server closed.
         """
         async with open_bench() as bench:
             await bench.call_at_once(2)
@@ -235,11 +227,10 @@
             assert await bench.call() == ANSWERED
             assert bench.client.n_open == 2
 
-    async def test_a_slow_server_gets_some_typical_calls_time(self, clock):
-        """Each call takes 0.8 of its time, and connections rest between them.
-
-        Half of the time would cut every one of them on a reused connection.
-        """
+    async def test_the_timeout_allows_for_the_mean_latency_of_a_slow_server(
+        self, clock
+    ):
+        """Half of the time left would be too short for each call to a slow server."""
         async with open_bench() as bench:
             bench.fake.delay = 1.6
             for _ in range(12):
@@ -248,10 +239,7 @@
             assert await bench.call() == ANSWERED
 
     async def test_a_read_is_answered_in_time_all_the_same(self, clock):
-        """The same, as the caller of a query sees it: a whole answer, in time.
-
-        The owner retries over a fresh connection to the one server that there is.
-        """
+        """After a silent connection, a retry over a new one answers the query."""
         async with open_bench() as bench, trio.open_nursery() as nursery:
             owner = make_owner(bench.server, nursery)
             assert await ask(owner) == ANSWERED
@@ -260,7 +248,7 @@
             assert await ask(owner) == ANSWERED
             nursery.cancel_scope.cancel()
 
-    async def test_silence_on_a_fresh_connection_is_the_servers(self, clock):
+    async def test_silence_on_a_new_connection_ends_at_the_deadline(self, clock):
         async with open_bench() as bench:
             bench.fake.reply = lambda r: None
             start = trio.current_time()
@@ -302,11 +290,7 @@
 
 class TestAtMostOnce:
     async def test_only_a_recently_proved_connection_is_reused(self, clock):
-        """A booking on a stale connection would end as unknown, perhaps run.
-
-        Within a second of an answer the connection is reused; after a longer idle
-        time the booking goes over a new one.
-        """
+        """The outcome of a booking on a stale connection would be unknown."""
         async with open_bench() as bench:
             for idle in (0.0, 0.5, 3.0):
                 await trio.sleep(idle)
@@ -315,7 +299,7 @@
             assert {r.path for r in bench.fake.seen} == {"/run"}
 
     async def test_a_lost_reply_is_unknown(self):
-        """The server closes after it got the request, which it may have run."""
+        """The server closes after the request, which it may have run."""
         async with open_bench() as bench:
             bench.fake.reply = lambda r: CLOSE
             outcome = await bench.call(idempotent=False)
@@ -336,7 +320,7 @@
             assert bench.client.n_open == 0
 
     async def test_a_request_of_which_no_byte_left_is_not_run(self):
-        """The head is refused by the library, before anything is sent."""
+        """The HTTP library rejects the headers before anything is sent."""
         async with open_bench() as bench:
             outcome = await bench.call(request_id="r\r\nevil", idempotent=False)
             assert outcome == not_run(Step.SEND, Reason.LOST_CONNECTION)
@@ -344,7 +328,7 @@
 
 
 class TestWrongAnswer:
-    """An answer that is not provably that of the call is never taken for it."""
+    """An answer that does not match the call must not be returned for it."""
 
     @pytest.mark.parametrize(
         "changes",
@@ -375,7 +359,7 @@
             assert await bench.call() == unknown(Reason.LOST_CONNECTION)
 
     async def test_an_answer_without_end_is_cut(self):
-        """A server gone wrong sends and sends; the process must not take it all."""
+        """An endless answer of a faulty server must not exhaust the memory."""
         async with open_bench() as bench:
             body = b'"' + b"x" * MAX_ANSWER_BYTES + b'"'
             bench.fake.reply = lambda r: answer(r, body=body)
@@ -383,10 +367,9 @@
             assert bench.client.n_open == 0
 
     async def test_crossed_answers_end_with_their_connection(self):
-        """A server answers one request twice; each later answer is one behind.
+        """A server answers one request twice, so that later answers are off by one.
 
-        The second call gets the copy, whose attempt gives it away. Was the
-        connection kept, the third would get the second's answer, and so on.
+        If the connection were reused, each call would get the previous one's answer.
         """
         async with open_bench() as bench:
             bench.fake.reply = lambda r: answer(r) * (2 if r.connection == 1 else 1)
@@ -398,10 +381,9 @@
 
 class TestCancel:
     async def test_an_answer_abandoned_half_way_is_never_read_on(self):
-        """A loser of a hedge is cancelled while its answer comes in.
+        """A hedged call is cancelled while its answer is being received.
 
-        The rest of that answer would be read as the start of the next one. The
-        connection is closed instead, which also tells the server to stop.
+        The rest of that answer would be read as the start of the next one.
         """
         async with open_bench() as bench:
             bench.fake.reply = lambda r: answer(r)[:-4]
@@ -421,7 +403,7 @@
 
 class TestLimit:
     async def test_connections_never_exceed_the_servers_limit(self):
-        """Beyond its limit a server closes connections, some with a call on them."""
+        """A server closes connections beyond its limit, including those in use."""
         async with open_bench(connections=2) as bench:
             outcomes = await bench.call_at_once(5)
             refused = not_run(Step.CONNECT, Reason.OVERLOADED)
@@ -441,7 +423,7 @@
             (b"<html>", None),
         ],
     )
-    async def test_health_is_asked_over_a_fresh_connection(self, body, versions):
+    async def test_health_is_queried_over_a_new_connection(self, body, versions):
         async with open_bench() as bench:
             await bench.call()
             bench.fake.reply = lambda r: answer(r, body=body)
@@ -456,7 +438,7 @@
 
 class TestRequestStream:
     async def test_bytes_that_the_kernel_refused_have_not_left(self):
-        """The peer is gone before the first byte: the proof that nothing has run."""
+        """A request of which no byte was sent cannot have run."""
         own, peer = socket.socketpair()
         own.setblocking(False)
         stream = RequestStream(connected=own, max_received=100)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' port: bad input is refused clearly, and the process goes on serving."""
+"""The callers' port: bad input is refused with a reason and stops nothing."""
 
 import json
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 class FakeDaemon:
-    """Answers every query whole, unless it is told to refuse or to leave."""
+    """Answers every query completely, unless set to refuse or to leave."""
 
     def __init__(self) -> None:
         self.settings: Settings = build_settings(
@@ -86,7 +86,7 @@
 
 
 class Call:
-    """One request to the application, without a server; the answer is kept."""
+    """One request to the application, without a server, and its answer."""
 
     def __init__(self, *, method: str = "POST", path: str = QUERY, **headers: str):
         self.scope = {
@@ -171,7 +171,7 @@
             ),
         ],
     )
-    async def test_is_refused_counted_and_never_searched(
+    async def test_bad_input_is_refused_and_counted(
         self, call, body, status, problem, autojump_clock
     ):
         daemon = FakeDaemon()
@@ -183,8 +183,8 @@
         assert daemon.n_searches == 0
 
     async def test_slow_body_ends_in_time(self, autojump_clock):
-        # A caller sends half of its body and then nothing. Its connection is not
-        # held for longer than the limit, and it is told what was wrong.
+        # A caller that stops in the middle of its body must not hold a connection
+        # beyond the timeout.
         app = FakeDaemon().build_app()
         call = Call(**JSON)
         call.scope["headers"] = [(b"content-type", b"application/json")]
@@ -203,7 +203,7 @@
 
 
 class TestAnswers:
-    async def test_refusal_says_when_to_come_back(self, autojump_clock):
+    async def test_refusal_has_a_retry_delay(self, autojump_clock):
         daemon = FakeDaemon()
         daemon.is_refusing = True
         call = await Call(request_id="r-1").send_to(daemon.build_app(), b"{}")
@@ -214,27 +214,24 @@
         assert (body["request_id"], body["retry_after_ms"]) == ("r-1", 1500)
 
     async def test_host_without_settings_in_force_serves_nobody(self, autojump_clock):
-        # A host has just started and has only its file. A caller that reaches it
-        # past the balancer is told "not run" at once, and not served by settings
-        # that accepted edits have replaced.
+        # A host that has only its settings file must not serve requests by settings
+        # that accepted edits may have replaced.
         daemon = FakeDaemon()
         daemon.unsettled = "no settings from the platform or a peer yet"
         call = await Call().send_to(daemon.build_app(), b"{}")
         assert (call.status, daemon.n_searches) == (503, 0)
         assert json.loads(call.body)["reason"] == "not ready"
 
-    async def test_caller_that_leaves_cancels_its_search(self, autojump_clock):
-        # The caller closes its connection while its query runs. The search ends
-        # then, and with it the calls that hold slots of the backend servers.
+    async def test_disconnect_cancels_the_search(self, autojump_clock):
+        # The search of a disconnected caller would hold slots of backend servers.
         daemon = FakeDaemon()
         daemon.search_s = 10.0
         await Call().send_to(daemon.build_app(), b"{}", then_leave_after=0.05)
         assert daemon.n_cancelled == 1
 
     async def test_leaving_host_has_connections_closed(self, autojump_clock):
-        # A planned stop: the balancer keeps connections open for reuse. Told to
-        # close them with an answer, it does so between two requests, so that none
-        # is on its way when the port closes.
+        # The load balancer keeps connections open. It has to close them between two
+        # requests, so that none is in transit when the port closes.
         daemon = FakeDaemon()
         daemon.is_leaving = True
         call = await Call().send_to(daemon.build_app(), b"{}")
@@ -253,8 +250,7 @@
         ],
     )
     async def test_garbage_leaves_it_serving(self, garbage):
-        # Something that speaks no HTTP, or too much of it, reaches the port. It
-        # gets an error or a closed connection; the next caller is served.
+        # Input that is not HTTP, or too long, must not affect the next caller.
         daemon = FakeDaemon()
         [port] = find_free_ports(1)
         stop = trio.Event()
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""Channels between entry processes: alive or replaced, and closed to garbage."""
+"""Channels between entry processes: silent channels, dials and invalid frames."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -50,7 +50,7 @@
 
 
 class Pair:
-    """A dialler of one host and an acceptor of another, over a stream in memory."""
+    """A dialer of one host and an acceptor of another, over a stream in memory."""
 
     def __init__(self, *, nursery: trio.Nursery, accepts_as: Hello) -> None:
         self.handled: list[Frame] = []
@@ -93,7 +93,7 @@
 
 
 class TestDialer:
-    async def test_asks_over_one_channel(self, autojump_clock):
+    async def test_requests_share_one_channel(self, autojump_clock):
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             for _ in range(3):
@@ -105,9 +105,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_silent_channel_is_lost_and_a_fresh_one_works(self, autojump_clock):
-        # Something between two hosts lost track of their connection: bytes go in
-        # and nothing comes out. Whoever waits on it is told within the silence
-        # limit, and the next request goes over a new connection.
+        # A middlebox drops the connection's state. Requests have to fail within the
+        # silence timeout, and later ones have to use a new connection.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -124,8 +123,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_slow_answer_is_not_taken_for_silence(self, autojump_clock):
-        # The peer takes long over a request but answers pings: the channel stays,
-        # and with it all that others wait for on it.
+        # The peer is slow to reply but answers pings. Closing the channel would lose
+        # all requests on it.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             pair.answers = False
@@ -136,9 +135,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_own_pause_is_not_taken_for_silence(self, autojump_clock):
-        # This process is stopped for two seconds and goes on. All its timers are
-        # due at once, and what its peers sent lies unread. The channels stay, and
-        # with them whatever is asked on them.
+        # After a stall of this process, timers have expired and data of peers is still
+        # unread. Closing the channels would lose all requests on them.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -154,9 +152,8 @@
     async def test_silence_is_found_though_each_who_asks_gives_up_early(
         self, autojump_clock
     ):
-        # A channel went silent, and all requests on it have short deadlines. Each
-        # gives up before the silence limit; were the silence counted anew with each
-        # request, the channel would stay in use and fail them all, for ever.
+        # If each request restarted the silence timeout, a silent channel on which all
+        # requests time out earlier would never be closed.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -168,8 +165,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_all_share_one_dial_of_a_silent_host(self, autojump_clock):
-        # Ten queries need the same host, which takes connections and says nothing.
-        # One after the other they would wait ten times as long for the same news.
+        # If ten queries dialled a silent host in turn, the last would wait for ten
+        # timeouts.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             pair.is_silent = True
@@ -180,9 +177,10 @@
             assert pair.n_connects == 1
             nursery.cancel_scope.cancel()
 
-    async def test_dial_goes_on_when_one_who_waits_leaves(self, autojump_clock):
-        # A caller leaves while its query waits for a dial. The others that wait
-        # for the same host are not cut off with it.
+    async def test_dial_continues_when_one_of_its_waiters_is_cancelled(
+        self, autojump_clock
+    ):
+        # Cancelling one request must not cancel the dial that others wait for.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             pair.is_silent = True
@@ -190,13 +188,13 @@
                 await pair.dialer.dial("ptl-b-1", ADDRESS)
             pair.is_silent = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
-            assert channel is Loss.SILENT  # Of the dial that was under way.
+            assert channel is Loss.SILENT  # The result of the first dial.
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             nursery.cancel_scope.cancel()
 
     async def test_idle_channels_are_closed_on_both_sides(self, autojump_clock):
-        # A host vanished and left its channel behind. It is not held for ever.
+        # The channel of a host that no longer exists must not stay open.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -207,8 +205,8 @@
             nursery.cancel_scope.cancel()
 
     async def test_address_that_passed_to_another_host_is_refused(self, autojump_clock):
-        # A replaced host's address now belongs to another. What is asked of one
-        # must not be done by the other: a ticket's issuer is one process.
+        # A request for one host must not be served by another that has its address: a
+        # ticket's issuer is one process.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-9"))
             assert await pair.dialer.dial("ptl-b-1", ADDRESS) is Loss.REFUSED
@@ -261,7 +259,7 @@
 
 class TestFrames:
     def test_truncated_and_flipped_frames_raise_nothing_else(self):
-        # Whatever bytes come, a reader meets a frame or `BadFrameError`.
+        # Any bytes are either decoded as a frame or raise `BadFrameError`.
         message = DocumentMessage(name="settings/demo", version=7, body=b"x" * 40)
         whole = encode_frame(Frame(id=3, message=message))[LENGTH.size :]
         for place in range(len(whole)):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line, as people and programs call it."""
+"""The command line: output, exit codes and error messages."""
 
 import copy
 import json
@@ -28,7 +28,7 @@
 
 
 class FakeHost:
-    """An entry host that says what it is told to, on its admin and callers port."""
+    """An entry host with scripted answers on its admin and callers ports."""
 
     def __init__(self, name):
         self.name = name
@@ -36,11 +36,11 @@
         self.problem = None
         self.answers = []
         self.requests = []
-        self.on_ask = lambda: None
+        self.on_status_request = lambda: None
 
     async def handle_admin(self, _request, _connection):
-        """Tell the versions in turn, and the last one from then on."""
-        self.on_ask()
+        """Report each version in turn, and then always the last one."""
+        self.on_status_request()
         version = self.versions.pop(0) if len(self.versions) > 1 else self.versions[0]
         status = HostStatus(
             host=self.name,
@@ -62,7 +62,7 @@
 
 
 class Deployment:
-    """A platform and two entry hosts in a thread, and a settings file for them."""
+    """A platform and two entry hosts in a thread, with their settings file."""
 
     def __init__(self, path):
         self.path = path
@@ -103,7 +103,7 @@
         self.token.run_sync_soon(self.stopping.set)
 
     def write(self, **options):
-        """Write the settings file with some options at its top."""
+        """Write the settings file with additional top-level options."""
         self.path.write_text(json.dumps(self.tree | options, indent=2))
         return str(self.path)
 
@@ -116,7 +116,7 @@
         return decode_settings(value.resolved.data)
 
     def write_once_more(self):
-        """Write what the platform holds again, as a later edit does; only once."""
+        """Write the platform's object again, like a later edit; only once."""
         entry = self.platform.store.get("settings/small", math.inf)
         assert entry is not None
         if entry.version == 2:
@@ -142,7 +142,7 @@
 
 @pytest.fixture
 def restored_logs():
-    """Undo `configure_logs`, which replaces the handlers of the whole process."""
+    """Undo `configure_logs`, which replaces the handlers of the process."""
     root = logging.getLogger()
     kept = (list(root.handlers), root.level)
     package = logging.getLogger("lavendergap")
@@ -189,7 +189,7 @@
             (["query", "search", "--body", "{", "--settings", "x"], "not JSON"),
         ],
     )
-    def test_wrong_usage_says_what_is_expected(self, call, arguments, words):
+    def test_wrong_usage_shows_what_is_expected(self, call, arguments, words):
         code, out, err = call(*arguments)
         assert (code, out) == (2, "")
         assert words in err
@@ -203,7 +203,7 @@
         assert (code, err) == (0, "")
         assert wanted in out
 
-    def test_a_bad_file_tells_every_problem_and_its_place(self, call, tmp_path):
+    def test_a_bad_file_shows_every_problem_and_its_path(self, call, tmp_path):
         path = write_tree(tmp_path / "s.jsonc", slots=0, platfrom="x")
         code, out, err = call("settings", "check", path)
         assert (code, out) == (2, "")
@@ -262,7 +262,9 @@
         options = {o["name"]: o["value"] for o in json.loads(out)["options"]}
         assert options["slots"] == 4
 
-    def test_a_file_that_cannot_be_written_is_one_line(self, call, deployment):
+    def test_a_file_that_cannot_be_written_is_reported_in_one_line(
+        self, call, deployment
+    ):
         code, out, err = call("settings", "get", "--output", "/nowhere/x")
         assert (code, out) == (1, "")
         assert err == "lavendergap: [Errno 2] No such file or directory: '/nowhere/x'\n"
@@ -292,7 +294,7 @@
     def test_wait_until_all_have_it_in_force(self, call, deployment):
         deployment.hosts["host-1"].versions = [2]
         deployment.hosts["host-2"].versions = [1, 1, 3]
-        deployment.hosts["host-2"].on_ask = deployment.write_once_more
+        deployment.hosts["host-2"].on_status_request = deployment.write_once_more
         file = deployment.write(slots=4)
         code, out, err = call(*APPLY, file, "--base", 1, "--wait", 9)
         assert (code, out) == (0, "version 2 in force on 2 of 2\n")
@@ -302,11 +304,9 @@
         ]
 
     def test_hosts_ahead_of_the_platform_do_not_have_it(self, call, deployment):
-        """The edit is accepted, and no host will ever take it.
+        """After a restore from a backup, hosts keep their newer settings.
 
-        The platform comes back from a backup and counts from a lower version. The
-        hosts keep the newer one that they have, so the edit is not in force; a
-        greater number alone does not say that it holds the edit.
+        An edit with a lower version must not be reported as in force there.
         """
         for host in deployment.hosts.values():
             host.versions = [5]
@@ -316,11 +316,10 @@
         assert "version 2 in force on 0 of 2" in err
         assert "host-1 (version 5, newer than the platform's 2" in err
 
-    def test_those_who_do_not_have_it_are_named(self, call, deployment):
-        """The edit is accepted and the operator learns who acts on the old one.
+    def test_hosts_without_the_edit_are_named(self, call, deployment):
+        """An accepted edit that a host rejects is neither done nor failed.
 
-        One host took it, the other says why it cannot; "done" would be a lie, and
-        "failed" too, as the edit stays accepted.
+        The operator has to see which hosts still use the old settings, and why.
         """
         deployment.hosts["host-1"].versions = [2]
         deployment.hosts["host-2"].problem = "version 2: too new"
@@ -351,12 +350,12 @@
         states = {name: host["state"] for name, host in json.loads(out).items()}
         assert states == {"host-1": "live", "host-2": "live", "host-3": "unreachable"}
 
-    def test_another_host_at_the_address_is_not_taken_for_it(self, call, deployment):
+    def test_another_host_at_the_address_is_reported(self, call, deployment):
         deployment.hosts["host-2"].name = "host-9"
         _, out, _ = call("status")
         assert "another host, host-9, answers there" in out
 
-    def test_nobody_answers(self, call, tmp_path):
+    def test_no_host_answers(self, call, tmp_path):
         path = write_tree(tmp_path / "s.jsonc")
         tree = json.loads(path.read_text().replace(":8201", ":11"))
         path.write_text(json.dumps(tree))
@@ -389,7 +388,7 @@
         "retry_after_ms": 250,
     }
 
-    def test_the_answer_tells_its_coverage(self, call, deployment):
+    def test_the_answer_shows_its_coverage(self, call, deployment):
         host = deployment.hosts["host-1"]
         host.answers = [make_json_reply(self.ANSWER)] * 2
         arguments = ["query", "search", "--host", "host-1", "--body", '{"q": 1}']
@@ -397,13 +396,13 @@
         assert code == 0
         assert "coverage  1 of 2 shards, 50.0% of the library" in out
         assert ["s01", "shed", "send", "x-a"] in [x.split() for x in out.splitlines()]
-        assert '{"n":"[red]"}' in out  # Not taken for a colour.
+        assert '{"n":"[red]"}' in out  # Not interpreted as markup.
         (request,) = host.requests
         assert request.path == "/v1/services/search/query"
         assert (request.headers["deadline-ms"], request.body) == ("70", b'{"q": 1}')
         assert json.loads(call(*arguments, "--json")[1]) == self.ANSWER
 
-    def test_a_refusal_says_where_and_when_to_come_back(self, call, deployment):
+    def test_a_refusal_shows_its_origin_and_retry_delay(self, call, deployment):
         host = deployment.hosts["host-2"]
         host.answers = [make_json_reply(self.REFUSAL, status=503)]
         code, out, err = call("query", "search", "--host", "host-2")
@@ -423,7 +422,7 @@
         assert "ticket t-1" in err
         assert host.requests[1].headers["ticket"] == "t-1"
 
-    def test_a_lost_answer_can_be_asked_for_again(self, call, deployment):
+    def test_a_lost_answer_can_be_requested_again(self, call, deployment):
         host = deployment.hosts["host-1"]
         host.answers = [make_json_reply({"ticket": "t-1"}, status=201), None]
         code, _, err = call("query", "ledger", "--host", "host-1")
@@ -436,7 +435,7 @@
             assert code == 2
             assert "; known: " in err
 
-    def test_an_answer_that_is_none(self, call, deployment):
+    def test_an_invalid_answer(self, call, deployment):
         deployment.hosts["host-1"].answers = [Reply(status=404, body=b'{"error":"?"}')]
         code, _, err = call("query", "search", "--host", "host-1")
         assert code == 1
@@ -454,9 +453,9 @@
         assert code == 2
         assert "host-9" in err
 
-    def test_a_port_in_use_is_one_line_that_says_what_to_do(self, tmp_path):
-        # A second process of the same host is started by mistake. It ends with one
-        # line, not with the stacks of its tasks, and the first goes on.
+    def test_a_port_in_use_is_reported_in_one_line(self, tmp_path):
+        # A second process of the same host has to exit with one line, not with the
+        # tracebacks of its tasks.
         shape = DeploymentShape(n_hosts=1, services=(ServiceShape(name="s"),))
         deployment = write_deployment(shape=shape, directory=tmp_path)
         [host] = deployment.hosts
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Connections that carry requests unchanged, to servers that answer as scripted."""
+"""Connections that forward requests unchanged, to a server with scripted answers."""
 
 import socket
 import time
@@ -50,7 +50,7 @@
 
 
 class Bench:
-    """A server whose answer to each request is the next one of a script."""
+    """A client of a server with scripted answers."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
 async def open_bench(*script: bytes | None):
     """Yield the bench; None in the script closes the connection without an answer.
 
-    "end" closes the port first, as a process does that ends.
+    "end" closes the port first, like the end of the server's process.
     """
     answers = list(script)
     requests: list[bytes] = []
@@ -141,7 +141,7 @@
 
 
 class TestUnchanged:
-    async def test_the_request_goes_on_as_it_came(self):
+    async def test_the_request_is_forwarded_unchanged(self):
         async with open_bench(answer()) as bench:
             verdict = await bench.call(make_call(body=b"{}"))
             assert isinstance(verdict.outcome, Answered)
@@ -153,7 +153,7 @@
                 assert line in request.lower()
             assert b"x-expected: i-1" in request.lower()
 
-    async def test_connections_are_used_again(self):
+    async def test_connections_are_reused(self):
         async with open_bench(*[answer()] * 5) as bench:
             for _ in range(5):
                 assert isinstance((await bench.call()).outcome, Answered)
@@ -162,8 +162,8 @@
 
 class TestBytesThatBelongToNoRequest:
     async def test_a_second_answer_is_never_the_next_request_s(self):
-        # A server sends its answer twice. The second copy waits where the answer to
-        # the next request is due: read as such, a caller would get another one's.
+        # If a server sends its answer twice, the copy must not be read as the answer to
+        # another caller's request.
         async with open_bench(answer() * 2, answer(b"r2", b"own")) as bench:
             await bench.call()
             verdict = await bench.call(make_call(b"r2"))
@@ -179,7 +179,7 @@
             assert isinstance((await bench.call(make_call(b"r2"))).outcome, Answered)
             assert bench.n_connections == 2
 
-    async def test_an_answer_without_proof_is_not_whole(self):
+    async def test_an_answer_without_proof_is_rejected(self):
         plain = b"HTTP/1.1 200 OK\r\nx-attempt: r1\r\ncontent-length: 0\r\n\r\n"
         async with open_bench(plain) as bench:
             verdict = await bench.call()
@@ -187,7 +187,7 @@
 
 
 class TestTornAnswers:
-    async def test_an_answer_that_ends_early_is_none(self):
+    async def test_a_truncated_answer_closes_its_connection(self):
         torn = answer(body=b"0123456789")[:-4]
 
         async with open_bench(torn, None) as bench:
@@ -212,7 +212,7 @@
 
 class TestWhetherItRan:
     @pytest.mark.parametrize("status", [503, 429, 400])
-    async def test_a_server_s_own_word_is_believed(self, status):
+    async def test_the_not_run_header_of_a_server_is_trusted(self, status):
         shed = b"HTTP/1.1 %d No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n" % status
         async with open_bench(shed) as bench:
             assert isinstance((await bench.call()).outcome, NotRun)
@@ -224,7 +224,7 @@
             assert isinstance(outcome, NotRun)
             assert outcome.reason is Reason.NO_REPLICA
 
-    async def test_a_failure_without_that_word_may_have_run(self):
+    async def test_a_failure_without_the_not_run_header_may_have_run(self):
         failed = b"HTTP/1.1 503 No\r\nx-attempt: r1\r\ncontent-length: 0\r\n\r\n"
         async with open_bench(failed) as bench:
             assert isinstance((await bench.call()).outcome, Unknown)
@@ -236,8 +236,8 @@
             assert outcome.reason is Reason.LOST_CONNECTION
 
     async def test_a_server_that_ended_is_told_from_a_lost_connection(self):
-        # The connection breaks under a request, and the server takes no new one: it has
-        # ended, perhaps of this very request. Not so one that only dropped it.
+        # A server that accepts no new connection has ended, possibly because of the
+        # request; one that only closed the connection has not.
         async with open_bench(answer(), b"end") as bench:
             await bench.call()
             outcome = (await bench.call()).outcome
@@ -245,7 +245,7 @@
             assert outcome.reason is Reason.SERVER_ENDED
             assert bench.client.n_open == 0
 
-    async def test_a_server_that_lives_is_asked_on_the_connection_that_showed_it(self):
+    async def test_the_connection_of_the_liveness_check_is_reused(self):
         async with open_bench(None, answer()) as bench:
             assert isinstance((await bench.call()).outcome, Unknown)
             assert isinstance((await bench.call()).outcome, Answered)
@@ -271,8 +271,8 @@
 
 class TestCancelling:
     async def test_an_abandoned_request_closes_its_connection(self):
-        # A caller leaves. Its server sees the connection close, and the next request
-        # does not meet the answer that still comes.
+        # After a cancelled request, its late answer must not be read as that of the
+        # next one.
         async with open_bench(b"silence", answer(b"r2")) as bench:
             with trio.move_on_after(0.1):
                 await bench.call()
@@ -287,7 +287,7 @@
 
 
 class TestIdleConnections:
-    async def test_the_server_s_own_limit_is_kept(self):
+    async def test_the_server_s_keep_alive_timeout_is_respected(self):
         short = answer(extra=b"keep-alive: timeout=0\r\n")
         async with open_bench(short, answer()) as bench:
             await bench.call()
@@ -310,9 +310,8 @@
 
 class TestTimeThatRunsOut:
     async def test_while_a_connection_opens(self, monkeypatch, autojump_clock):
-        # Opening a connection takes the rest of a request's time. Nothing is sent,
-        # and the caller may come back; the negative time left once ended the whole
-        # process.
+        # A deadline that passes while connecting leaves a negative time, which must not
+        # end the process.
         async with open_bench(answer(b"r2")) as bench:
             connect = forward._connect
 
@@ -329,9 +328,8 @@
             assert bench.requests == []
 
     async def test_before_the_connection_is_begun(self):
-        # The loop is late: the task that opens a connection has its first turn after
-        # the request's deadline. A negative time to open it in once ended the whole
-        # process, on days when hosts had just lost power.
+        # On a busy event loop the deadline may pass before the connecting task runs. A
+        # negative timeout must not end the process.
         async with open_bench(answer()) as bench:
             ended: list[Verdict] = []
             call = replace(make_call(), deadline=trio.current_time() + 0.001)
@@ -342,7 +340,7 @@
             assert isinstance(verdict.outcome, NotRun)
             assert bench.requests == []
 
-    async def test_an_error_of_our_own_costs_the_attempt_alone(self, monkeypatch):
+    async def test_an_unexpected_error_loses_only_the_attempt(self, monkeypatch):
         async def fail(server):
             raise RuntimeError("a fault in this program")
 
@@ -354,7 +352,7 @@
 
 
 class StepCounter(trio.abc.Instrument):
-    """Counts the steps that connections' tasks of this host take, by their names."""
+    """Counts the steps of the tasks of ForwardClient, and all new tasks."""
 
     def __init__(self) -> None:
         self.n_steps = 0
@@ -368,17 +366,16 @@
 
 
 class TestOneTaskAConnection:
-    async def test_a_close_is_seen_before_the_next_request(self):
-        # A server drops idle connections without a word. Seen only by the request that
-        # is sent there next, that one is lost, and a read has to be sent once more.
+    async def test_a_close_is_detected_before_the_next_request(self):
+        # A server closes idle connections. If that were detected only by the next
+        # request, this request would be lost.
         async with open_bench(answer()) as bench:
             await bench.call()
             await trio.testing.wait_all_tasks_blocked(0.05)
             assert bench.client.n_open == 0
 
     async def test_an_attempt_takes_one_step(self):
-        # Hosts with half a core make some hundred calls a second, and the loop's steps
-        # were most of what each cost.
+        # Steps of the event loop are most of the cost of a call.
         async with open_bench(*[answer()] * 40) as bench:
             await bench.call()
             counter = StepCounter()
@@ -393,7 +390,7 @@
             assert (counter.n_steps, counter.n_tasks) == (30, 0)
 
     async def test_a_request_that_could_not_be_sent_has_not_run(self):
-        # The kernel refuses the bytes: none has left, and a booking may go elsewhere.
+        # No byte was sent, so that a booking may be retried on another server.
         async with open_bench(answer(), answer()) as bench:
             await bench.call()
             [connection] = bench.client._idle
@@ -403,16 +400,15 @@
             assert verdict.outcome.reason is Reason.LOST_CONNECTION
             assert bench.client.n_open == 0
 
-    async def test_a_long_request_is_sent_as_the_server_takes_it(self):
+    async def test_a_long_request_is_sent_in_parts(self):
         body = b"x" * 8_000_000
         async with open_bench(answer()) as bench:
             verdict = await bench.call(make_call(body=body))
             assert isinstance(verdict.outcome, Answered)
 
-    async def test_a_connection_that_was_idle_and_stays_silent(self, autojump_clock):
-        # Something between the ends has lost track of the connection: what is sent
-        # there never arrives. Half of the time is left for another server, and the
-        # connections beside it are not tried one after the other.
+    async def test_an_idle_connection_that_is_silent(self, autojump_clock):
+        # A middlebox has dropped the connection's state. The call has to end in time
+        # for another server, and other idle connections must not be tried in turn.
         async with open_bench(answer(), b"silence") as bench:
             await bench.call()
             await trio.sleep(forward.MAX_TRUSTED_IDLE_S + 0.5)
@@ -436,7 +432,7 @@
             assert verdict.outcome.reason is Reason.CANCELLED
             assert bench.client.n_open == 0
 
-    async def test_one_that_is_cancelled_while_its_connection_opens(self):
+    async def test_an_attempt_that_is_cancelled_while_connecting(self):
         async with open_bench(answer()) as bench:
             ended: list[Verdict] = []
             exchange = bench.client.begin(make_call(), fresh=False, end=ended.append)
@@ -447,8 +443,8 @@
             assert bench.requests == []
 
     async def test_one_that_is_cancelled_as_its_connection_is_open(self, monkeypatch):
-        # The caller leaves in the moment in which the connection is there: nothing is
-        # sent any more, and the connection is good for the next request.
+        # The caller disconnects at the moment the connection opens. Nothing is sent,
+        # and the next request uses the connection.
         connect = forward._connect
         async with open_bench(answer()) as bench:
             ended: list[Verdict] = []
@@ -466,7 +462,7 @@
             assert isinstance((await bench.call()).outcome, Answered)
             assert bench.n_connections == 1
 
-    async def test_a_closed_client_keeps_none_that_opened_too_late(self, monkeypatch):
+    async def test_a_closed_client_does_not_keep_a_late_connection(self, monkeypatch):
         connect = forward._connect
         async with open_bench(answer()) as bench:
 
@@ -482,7 +478,7 @@
             await trio.sleep(0.05)
             assert bench.client.n_open == 0
 
-    async def test_a_late_cancel_harms_no_later_request(self):
+    async def test_a_late_cancel_does_not_affect_the_next_request(self):
         async with open_bench(answer(), answer()) as bench:
             ended: list[Verdict] = []
             exchange = bench.client.begin(make_call(), fresh=False, end=ended.append)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's port for callers: what it refuses, and what it says of an outcome."""
+"""The gateway's port for callers: invalid requests and the answer to each outcome."""
 
 from contextlib import ExitStack
 from dataclasses import dataclass, field
@@ -60,7 +60,7 @@
 
 @dataclass
 class Port:
-    """The application with a fixed result, and what it sent."""
+    """The application with a fixed result, and a record of what it did."""
 
     result: GatewayResult | None = None
     index: RouteIndex | None = field(default_factory=lambda: RouteIndex(table=TABLE))
@@ -165,7 +165,7 @@
             (b"/a/", HEADERS, b"x" * 11, 413),
         ],
     )
-    async def test_what_cannot_be_served_is_told(self, path, headers, body, status):
+    async def test_an_invalid_request_is_rejected(self, path, headers, body, status):
         port = Port(result=Answered(body=b"x"))
         assert (await port.ask(path, headers=headers, body=body))[0] == status
         assert port.seen == []
@@ -175,13 +175,13 @@
         headers = HEADERS | {b"host": b"A.example:8104"}
         assert (await port.ask(headers=headers))[0] == 200
 
-    async def test_without_routes_nothing_runs_and_another_host_is_near(self):
+    async def test_without_routes_requests_are_refused_with_a_short_retry_delay(self):
         port = Port(index=None)
         status, headers, _ = await port.ask()
         assert status == 503
         assert float(headers[b"retry-after"]) < 1.0
 
-    async def test_a_caller_that_leaves_ends_its_request(self, autojump_clock):
+    async def test_a_disconnect_cancels_the_request(self, autojump_clock):
         port = Port()
         status, _, _ = await port.ask(leaves_after=0.1)
         assert status == 0
@@ -189,7 +189,7 @@
 
 
 class TestOutcomes:
-    async def test_an_answer_goes_back_unchanged(self):
+    async def test_an_answer_is_returned_unchanged(self):
         headers = ((b"x-proof", b"p"), (b"content-type", b"t"))
         port = Port(result=Answered(body=b"whole", status=201, headers=headers))
         status, got, body = await port.ask()
@@ -200,7 +200,7 @@
             b"content-length": b"5",
         }
 
-    async def test_a_joined_answer_names_its_parts_and_how_many_are_missing(self):
+    async def test_a_joined_answer_has_proofs_and_the_number_of_missing_parts(self):
         missing = Missing(
             shard="s2", reason=Reason.STRAGGLER, step=Step.RECEIVE, peer="s2"
         )
@@ -214,7 +214,7 @@
         assert headers[b"x-proofs"] == b"p1, p3"
         assert headers[b"x-missing"] == b"1"
 
-    async def test_not_run_says_when_to_come_back(self):
+    async def test_not_run_has_a_retry_delay(self):
         port = Port(result=not_run(Reason.OVERLOADED, after_ms=250))
         status, headers, _ = await port.ask()
         assert status == 503
@@ -229,22 +229,21 @@
             (Reason.STRAGGLER, 504),
         ],
     )
-    async def test_what_may_have_run_promises_nothing(self, reason, status):
+    async def test_an_unknown_outcome_has_no_retry_delay(self, reason, status):
         outcome = Unknown(step=Step.RECEIVE, peer="i-1", reason=reason)
         got, headers, _ = await Port(result=outcome).ask()
         assert got == status
         assert b"retry-after" not in headers
 
-    async def test_while_leaving_each_answer_closes_its_connection(self):
+    async def test_answers_of_a_leaving_host_close_their_connections(self):
         port = Port(result=Answered(body=b"x"), is_leaving=True)
         _, headers, _ = await port.ask()
         assert headers[b"connection"] == b"close"
 
 
 class TestOrder:
-    # An answer is held for stragglers until just before the goal. Telling the owners
-    # that these are not wanted any more, and the lines for the log, take a host of an
-    # eighth of a core ten milliseconds; done first, they made the answer late.
+    # An answer may be delayed for stragglers until just before its goal. If calls were
+    # cancelled and log lines written first, it would be late.
 
     JOINED = JoinedRecords(
         records=b"",
@@ -252,12 +251,12 @@
         coverage=Coverage(n_asked=0, n_answered=0, share=1.0, missing=()),
     )
 
-    async def test_the_answer_goes_out_before_anything_else_is_done(self):
+    async def test_the_answer_is_sent_before_other_work(self):
         port = Port(result=self.JOINED)
         assert (await port.ask())[0] == 200
         assert port.done == ["http.response.start", "http.response.body", "after"]
 
-    async def test_the_rest_is_done_for_a_caller_that_leaves(self, autojump_clock):
+    async def test_other_work_is_done_after_a_disconnect(self, autojump_clock):
         port = Port()
         await port.ask(leaves_after=0.1)
         assert port.was_cancelled
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the log lines and of what happens when nobody reads them."""
+"""Tests of the log lines, and of readers that stop."""
 
 import json
 import logging
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def restored_loggers():
-    """Put back what `configure_logs` changes for the whole program."""
+    """Restore what `configure_logs` changes for the whole process."""
     root = logging.getLogger()
     handlers, level = list(root.handlers), root.level
     yield
@@ -69,7 +69,7 @@
 
 
 def is_stuck(pipe):
-    """Tell whether a write(2) of a line would wait: the symptom in the daemon."""
+    """Return whether a write(2) of a line would block."""
     return not select.select([], [pipe[1]], [], 0)[1]
 
 
@@ -97,7 +97,7 @@
         log_decision(ROUTE, "plan", request_id=None, choice=Choice(server="a"))
         assert read_lines(pipe[0])[0]["choice"] == {"server": "a"}
 
-    def test_a_field_that_cannot_be_encoded_costs_that_line_only(self, pipe):
+    def test_a_field_that_cannot_be_encoded_loses_only_that_line(self, pipe):
         endless: list[object] = []
         endless.append(endless)
         configure(pipe)
@@ -152,15 +152,13 @@
 
 
 class TestReaderStops:
-    """The log's reader stops reading while the daemon goes on deciding.
+    """The log's reader stops reading, and the pipe fills.
 
-    Callers of an entry host that logs with plain writes see every query hang: the
-    pipe fills (64 KB, some thirty plans), write(2) waits, and with it the only
-    loop. Here lines wait in memory up to a bound, and are then dropped and counted.
+    A blocking write(2) would stop the event loop and every query on the host.
     """
 
     def test_writing_never_waits_and_the_gap_is_told(self, pipe):
-        # With a handler that writes plainly this test hangs in its first loop.
+        # With blocking writes, this test would hang in its first loop.
         handler = configure(pipe)
         handler.writer.max_pending = 100_000
         n_sent = 0
@@ -178,7 +176,7 @@
         assert gap["n_lines"] == 10
         assert after["request_id"] == "after"
 
-    def test_a_line_longer_than_the_pipe_is_not_torn(self, pipe):
+    def test_a_line_longer_than_the_pipe_is_written_completely(self, pipe):
         handler = configure(pipe)
         log_decision(ROUTE, "plan", request_id="long", padding="x" * 300_000)
         log_decision(ROUTE, "plan", request_id="next")
@@ -186,13 +184,13 @@
         assert [line["request_id"] for line in lines] == ["long", "next"]
 
     def test_the_inherited_descriptor_keeps_its_mode(self, pipe):
-        # Set on the descriptor itself, O_NONBLOCK would reach the shell and every
-        # other program at the same terminal; their own writes would then fail.
+        # O_NONBLOCK on the inherited descriptor would make writes of the shell and of
+        # other programs at the same terminal fail.
         configure(pipe)
         assert os.get_blocking(pipe[1])
 
-    def test_a_socket_is_not_waited_for_either(self):
-        # Some service managers hand a socket to stderr; it cannot be opened anew.
+    def test_a_socket_does_not_block(self):
+        # Some service managers use a socket for stderr, which cannot be reopened.
         ours, theirs = socket.socketpair()
         with ours, theirs:
             writer = LineWriter(output=open_output(ours.fileno()), max_pending=1_000)
@@ -202,7 +200,7 @@
             assert writer.n_pending_bytes
             assert ours.getblocking()
 
-    def test_a_reader_that_is_gone_for_good_ends_nothing(self):
+    def test_a_closed_reader_raises_no_error(self):
         read_end, write_end = os.pipe()
         writer = LineWriter(output=open_output(write_end), max_pending=100)
         handler = LineHandler(writer=writer, formatter=JsonFormatter())
@@ -212,7 +210,7 @@
         assert handler.n_dropped == 2
         os.close(write_end)
 
-    async def test_pending_lines_leave_without_a_further_line(
+    async def test_buffered_lines_are_written_without_another_line(
         self, pipe, autojump_clock
     ):
         handler = configure(pipe)
@@ -236,11 +234,11 @@
 
 
 class TestDescriptors:
-    def test_one_that_cannot_be_opened_anew_is_written_by_its_own_number(
+    def test_a_descriptor_that_cannot_be_reopened_is_used_itself(
         self, monkeypatch, pipe
     ):
-        # A platform knows the standard descriptors by their numbers, and forbids to
-        # open them anew. Written to a duplicate, every line of the log was lost.
+        # A platform may capture only the standard descriptors, by number. Lines written
+        # to a duplicate would be lost.
         def refuse(*arguments, **options):
             raise OSError
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The pages for operators name every metric and every decision line of the code."""
+"""The operators' pages document every metric and every decision in the logs."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 def collect_names():
-    """Return the names of all series of the daemon, as Prometheus shows them."""
+    """Return the names of all metrics of the daemon, as Prometheus exports them."""
     registry = CollectorRegistry()
     GossipMetrics(registry=registry)
     families = [*metrics.REGISTRY.collect(), *registry.collect()]
@@ -29,7 +29,7 @@
 
 
 def read_names(page):
-    """Return the metrics that a page has a row for."""
+    """Return the metrics in the table rows of a page."""
     text = (PAGES / page).read_text()
     return set(re.findall(r"^\| `(lavendergap_\w+)`", text, re.MULTILINE))
 
@@ -45,12 +45,12 @@
     def test_it_has_a_row_for_each_metric_and_no_other(self):
         assert read_names("metrics.md") == collect_names()
 
-    def test_no_metric_is_defined_where_this_test_does_not_look(self):
+    def test_every_metric_definition_is_collected(self):
         defined = {n for text in read_source() for n in DEFINED.findall(text)}
         known = {name.removesuffix("_total") for name in collect_names()}
         assert defined == known
 
-    def test_alerts_name_metrics_that_there_are(self):
+    def test_alerts_use_existing_metrics(self):
         text = (PAGES / "alerts.md").read_text()
         used = set(re.findall(r"\blavendergap_\w+", text))
         assert {name.removesuffix("_bucket") for name in used} <= collect_names()
@@ -62,6 +62,6 @@
     def test_it_names_each_decision(self):
         text = (PAGES / "logs.md").read_text()
         decided = {n for source in read_source() for n in DECIDED.findall(source)}
-        # Attempts are logged under their cause, which is no literal in the code.
+        # Attempts are logged under their cause, which is not a literal in the code.
         decided |= {"retry", "hedge"}
         assert {name for name in decided if f"`{name}`" not in text} == set()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The client of the platform: outcomes, time limits, silent connections."""
+"""The client of the platform: outcomes, timeouts, silent connections."""
 
 from contextlib import asynccontextmanager
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """A clock that jumps only after a real pause, since data passes the kernel."""
     return MockClock(autojump_threshold=0.02)
 
 
@@ -66,7 +66,7 @@
             whole = Listing(revision=2, objects=(listed,))
             assert await client.list_objects("settings/") == whole
 
-    async def test_a_stale_write_tells_the_present_version(self):
+    async def test_a_stale_write_returns_the_current_version(self):
         async with serve_platform() as (_, client):
             assert await client.put(KEY, b"x", base=7) == Conflict(version=None)
             await client.put(KEY, b"one", base=None)
@@ -99,7 +99,7 @@
             host = ListedHost(name="a", peers="127.0.0.1:8101", state="leaving")
             assert await client.list_hosts() == HostList(hosts=(host,))
 
-    async def test_a_value_that_can_never_be_stored_is_refused(self):
+    async def test_a_value_that_is_too_large_is_refused(self):
         async with serve_platform() as (_, client):
             refused = await client.put(KEY, b"x" * 1_100_000, base=None)
             assert isinstance(refused, Refused)
@@ -107,7 +107,7 @@
 
 
 class TestFailures:
-    async def test_nobody_listens(self):
+    async def test_a_refused_connection(self):
         async with serve_platform() as (_, client):
             pass
         lost = await client.put(KEY, b"x", base=None)
@@ -121,7 +121,7 @@
             ({"writes_per_s": 0.0, "reads_per_s": 0.0}, Reason.OVERLOADED, False),
         ],
     )
-    async def test_an_outage_and_a_rate_say_when_to_come_back(
+    async def test_outages_and_rate_limits_have_a_retry_delay(
         self, faults, reason, sent
     ):
         async with serve_platform(**faults) as (_, client):
@@ -132,11 +132,9 @@
             assert await client.put(KEY, b"x", base=None) == wanted
 
     async def test_a_write_with_a_lost_reply_may_have_taken_effect(self):
-        """The operator sees no reply although his edit was stored.
+        """The platform stores the value, but its reply is lost.
 
-        The platform stores the value, then the connection breaks. Trying again
-        blindly would run into the edit itself; the client says `sent` instead, and
-        the object read back tells.
+        The outcome has to be `sent`, so that the caller reads the object back.
         """
         async with serve_platform(lose_replies=1) as (_, client):
             lost = await client.put(KEY, b"x", base=None)
@@ -144,7 +142,7 @@
             assert lost == Unavailable(step=Step.RECEIVE, reason=reason, sent=True)
             assert await client.get(KEY) == Found(key=KEY, version=1, value=b"x")
 
-    async def test_a_slow_platform_does_not_hold_a_call(self, clock):
+    async def test_a_call_to_a_slow_platform_times_out(self, clock):
         async with serve_platform(delay_ms=60_000.0) as (_, client):
             started = trio.current_time()
             lost = await client.get(KEY)
@@ -153,12 +151,10 @@
         assert lost.reason is Reason.SILENT_CONNECTION
         assert taken == pytest.approx(client.limit_s, abs=0.1)
 
-    async def test_kept_connections_that_went_silent_are_replaced(self, clock):
-        """A read on a silent connection is answered in time by a fresh one.
+    async def test_idle_connections_that_are_silent_are_replaced(self, clock):
+        """A retry on another silent connection would fail although new ones work.
 
-        Two kept connections swallow all that is sent, as when a firewall between the
-        two ends has forgotten them. Trying the second one after the first has timed
-        out would let the read fail although new connections work.
+        A firewall that drops the state of connections makes all idle ones silent.
         """
         silent: set[Connection] = set()
         kept = set()
@@ -180,11 +176,10 @@
             assert trio.current_time() - started < client.limit_s
         assert len(kept) == 3
 
-    async def test_a_call_that_times_out_breaks_no_watch(self, clock):
-        """A watch under way ends by itself while a slow call is given up.
+    async def test_a_timeout_does_not_interrupt_a_watch(self, clock):
+        """If a timeout closed the connections of watches, all would be repeated.
 
-        Closing the watch's connection too would turn each slow call into a storm of
-        watches set up anew, just when the platform is slow.
+        That would add load just when the platform is slow.
         """
         release = trio.Event()
         found = []
@@ -214,7 +209,7 @@
         ],
         ids=["no version", "weak", "negative", "cut short", "too long"],
     )
-    async def test_a_garbled_answer_is_no_answer(self, reply, monkeypatch):
+    async def test_an_invalid_answer_is_unavailable(self, reply, monkeypatch):
         monkeypatch.setattr(exchange, "MAX_ANSWER_BYTES", 1_000)
 
         async def handle(_request, _connection):
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Edits of the settings: who wins a race, and what became of a lost reply."""
+"""Publishing edits of the settings: concurrent edits and lost replies."""
 
 import json
 from contextlib import asynccontextmanager
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """A clock that jumps only after a real pause, since data passes the kernel."""
     return MockClock(autojump_threshold=0.02)
 
 
@@ -55,8 +55,8 @@
     )
 
 
-class Place:
-    """A platform whose replies to writes pass through `on_write`, if one is set."""
+class FakePlatform:
+    """A platform whose reply to the next write passes through `on_write`, if set."""
 
     def __init__(self):
         self.platform = Platform(faults=PlatformFaults())
@@ -70,7 +70,7 @@
         return reply
 
     def store(self, text, *edits):
-        """Write the settings as somebody else; return the new version."""
+        """Write the settings like another operator; return the new version."""
         value = msgspec.json.encode(SettingsObject(text=text, edits=edits))
         now = trio.current_time()
         return self.platform.store.put(KEY, value, now).version
@@ -85,23 +85,23 @@
 
 
 @asynccontextmanager
-async def open_place():
-    place = Place()
+async def open_platform():
+    fake = FakePlatform()
     async with trio.open_nursery() as nursery:
-        server = HttpServer(ip="127.0.0.1", port=0, handle=place.handle)
+        server = HttpServer(ip="127.0.0.1", port=0, handle=fake.handle)
         port = await nursery.start(server.run)
         async with PlatformClient(address=Address(ip="127.0.0.1", port=port)) as client:
-            yield place, client
+            yield fake, client
         nursery.cancel_scope.cancel()
 
 
 class TestEdits:
-    async def test_an_edit_is_remembered_with_what_it_changed(self):
-        async with open_place() as (place, client):
+    async def test_an_edit_is_recorded_with_its_changes(self):
+        async with open_platform() as (fake, client):
             first = await publish(client, propose(0, slots=2), limit_s=LIMIT_S)
             second = propose(1, id="next", slots=3, weight=1)
             assert await publish(client, second, limit_s=LIMIT_S) == Accepted(version=2)
-            value = place.read()
+            value = fake.read()
         assert first == Accepted(version=1)
         assert [(edit.id, edit.base, edit.changed) for edit in value.edits] == [
             ("ours", 0, ("slots",)),
@@ -109,39 +109,35 @@
         ]
 
     async def test_the_same_text_is_not_written_again(self):
-        async with open_place() as (place, client):
-            version = place.store('{"slots": 2}')
+        async with open_platform() as (fake, client):
+            version = fake.store('{"slots": 2}')
             outcome = await publish(client, propose(version, slots=2), limit_s=LIMIT_S)
             assert outcome == Unchanged(version=version)
-            assert place.platform.counts["put"] == 0
+            assert fake.platform.counts["put"] == 0
 
     async def test_of_two_operators_who_race_one_is_refused(self):
-        """Both edit version 1 at once; the second write must not undo the first.
-
-        Both read version 1, then both write. Without the condition the later write
-        would silently take back what the earlier one changed.
-        """
+        """Two operators edit version 1; the second write must not undo the first."""
         outcomes = []
 
         async def edit(client, proposal):
             outcomes.append(await publish(client, proposal, limit_s=LIMIT_S))
 
-        async with open_place() as (place, client):
-            place.store("{}")
+        async with open_platform() as (fake, client):
+            fake.store("{}")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(edit, client, propose(1, id="a", slots=2))
                 nursery.start_soon(edit, client, propose(1, id="b", weight=2))
-            (edit_in_place,) = place.read().edits
+            (stored_edit,) = fake.read().edits
         outcomes.sort(key=lambda outcome: type(outcome).__name__)
-        accepted, overtaken = outcomes
+        accepted, conflict = outcomes
         assert accepted == Accepted(version=2)
-        assert isinstance(overtaken, EditConflict)
-        assert overtaken.head.edits == (edit_in_place,)
+        assert isinstance(conflict, EditConflict)
+        assert conflict.head.edits == (stored_edit,)
 
-    async def test_a_base_that_cannot_be(self, clock):
-        async with open_place() as (place, client):
+    async def test_an_invalid_base(self, clock):
+        async with open_platform() as (fake, client):
             none = await publish(client, propose(7, slots=2), limit_s=LIMIT_S)
-            place.store("{}")
+            fake.store("{}")
             ahead = await publish(client, propose(7, slots=2), limit_s=LIMIT_S)
         assert isinstance(none, NotWritten)
         assert "--base 0" in none.reason
@@ -151,76 +147,72 @@
 
 class TestLostReplies:
     async def test_an_edit_whose_reply_was_lost_is_found_again(self, clock):
-        """The operator is told "accepted", once, although no reply came.
+        """The edit is stored but the reply is lost, and the retry conflicts.
 
-        The platform stores the edit, then the connection breaks. The same write
-        again runs into the edit itself; its id in the object tells whose it is.
+        The edit's id in the stored object shows that it was accepted.
         """
-        async with open_place() as (place, client):
-            place.store("{}")
-            place.set_faults(lose_replies=1)
+        async with open_platform() as (fake, client):
+            fake.store("{}")
+            fake.set_faults(lose_replies=1)
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
-            edits = place.read().edits
+            edits = fake.read().edits
         assert outcome == Accepted(version=2)
         assert [edit.id for edit in edits] == ["ours"]
 
-    async def test_an_edit_that_another_has_built_on_is_accepted_too(self, clock):
-        """The reply is lost and another operator edits before we read back.
+    async def test_an_edit_that_another_one_follows_is_accepted(self, clock):
+        """The reply is lost, and another edit follows before the object is read back.
 
-        The head is not ours any more, yet our edit was accepted and lives on in it.
-        "Refused" would make the operator apply it twice.
+        If this were reported as a conflict, the operator would apply the edit twice.
         """
-        async with open_place() as (place, client):
-            place.store("{}")
+        async with open_platform() as (fake, client):
+            fake.store("{}")
 
             def overwrite(_reply):
-                value = place.read()
-                place.store("{}", *value.edits, replace(make_edit(2), id="theirs"))
+                value = fake.read()
+                fake.store("{}", *value.edits, replace(make_edit(2), id="theirs"))
 
-            place.on_write = overwrite
+            fake.on_write = overwrite
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
         assert outcome == Accepted(version=2)
 
-    async def test_a_lost_write_that_another_overtook_is_refused(self, clock):
-        """The write itself is lost, and another operator's edit takes its place.
+    async def test_a_lost_write_before_another_edit_is_refused(self, clock):
+        """The write is lost, another edit is stored, and the retry conflicts.
 
-        The write again is refused by its condition; the object lacks our id, so the
-        edit did not take effect and never will.
+        The edit's id is not in the object, so that the edit had no effect.
         """
-        async with open_place() as (place, client):
-            place.store("{}")
-            place.set_faults(lose_requests=1)
+        async with open_platform() as (fake, client):
+            fake.store("{}")
+            fake.set_faults(lose_requests=1)
 
             def overtake(reply):
-                place.store("{}", replace(make_edit(1), id="theirs"))
+                fake.store("{}", replace(make_edit(1), id="theirs"))
                 return reply
 
-            place.on_write = overtake
+            fake.on_write = overtake
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
         assert isinstance(outcome, EditConflict)
         assert outcome.version == 2
 
     async def test_reads_that_lag_do_not_hide_an_accepted_edit(self, clock):
-        """Reads show the old object for three seconds after the lost write.
+        """A stale read returns the object without the accepted edit.
 
-        The old object lacks our id. Taken for the present one it would turn an
-        accepted edit into "refused".
+        It must not be used to report the edit as refused.
         """
-        async with open_place() as (place, client):
-            place.store("{}")
+        async with open_platform() as (fake, client):
+            fake.store("{}")
             await trio.sleep(10.0)
-            place.set_faults(lose_replies=1, stale_reads_ms=3_000.0)
+            fake.set_faults(lose_replies=1, stale_reads_ms=3_000.0)
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
         assert outcome == Accepted(version=2)
 
-    async def test_a_platform_that_is_gone_leaves_it_open(self, clock):
-        async with open_place() as (place, client):
-            place.store("{}")
+    async def test_an_outage_after_a_write_is_unresolved(self, clock):
+        async with open_platform() as (fake, client):
+            fake.store("{}")
 
             def go_down(_reply):
-                place.set_faults(down=True)
+                fake.set_faults(down=True)
 
-            place.on_write = go_down
+            fake.on_write = go_down
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
             assert isinstance(outcome, Unresolved)
             never_sent = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
@@ -228,29 +220,28 @@
         assert "server error" in never_sent.reason
 
     async def test_a_refusal_after_a_lost_reply_leaves_it_open(self, clock):
-        # The first write takes effect, its reply is an error from in between. The
-        # second is refused outright, as by a platform that became full. To call the
-        # edit "not written" would be wrong: it is in force.
-        async with open_place() as (place, client):
+        # The first write takes effect, but a proxy replies with an error, and the
+        # retry is refused. "Not written" would be wrong.
+        async with open_platform() as (fake, client):
 
             def fail_then_refuse(reply):
-                place.on_write = lambda _: replace(reply, status=507, headers=())
+                fake.on_write = lambda _: replace(reply, status=507, headers=())
                 return replace(reply, status=502, headers=())
 
-            place.on_write = fail_then_refuse
+            fake.on_write = fail_then_refuse
             outcome = await publish(client, propose(0, slots=2), limit_s=LIMIT_S)
-            assert [edit.id for edit in place.read().edits] == ["ours"]
+            assert [edit.id for edit in fake.read().edits] == ["ours"]
         assert isinstance(outcome, Unresolved)
 
-    async def test_a_history_that_ends_too_early_leaves_it_open(self, clock):
-        async with open_place() as (place, client):
-            place.store("{}")
+    async def test_a_history_that_is_too_short_is_unresolved(self, clock):
+        async with open_platform() as (fake, client):
+            fake.store("{}")
 
             def bury(_reply):
                 edits = [make_edit(number + 2) for number in range(MAX_EDITS)]
-                place.store("{}", *edits)
+                fake.store("{}", *edits)
 
-            place.on_write = bury
+            fake.on_write = bury
             outcome = await publish(client, propose(1, slots=2), limit_s=LIMIT_S)
         assert isinstance(outcome, Unresolved)
         assert "the history ends before it" in outcome.reason
@@ -258,7 +249,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Round:
-    """Some operators edit at once, some from an old version, under some faults."""
+    """Concurrent edits, some from an old version, with faults of the platform."""
 
     lags: list[int]
     faults: dict[str, float]
@@ -302,12 +293,12 @@
         async def edit(client, proposal):
             outcomes[proposal.id] = await publish(client, proposal, limit_s=LIMIT_S)
 
-        async with open_place() as (place, client):
-            place.store("{}")
+        async with open_platform() as (fake, client):
+            fake.store("{}")
             await trio.sleep(10.0)
             for number, drawn in enumerate(rounds):
-                head = place.platform.store.get_revision(trio.current_time())
-                place.set_faults(**drawn.faults)
+                head = fake.platform.store.get_revision(trio.current_time())
+                fake.set_faults(**drawn.faults)
                 async with trio.open_nursery() as nursery:
                     for lag in drawn.lags:
                         id = f"edit-{number}-{len(nursery.child_tasks)}"
@@ -315,10 +306,10 @@
                         nursery.start_soon(edit, client, proposal)
                     with trio.move_on_after(LIMIT_S + 1.0):
                         await trio.sleep(drawn.down_after_s)
-                        place.set_faults(down=True)
-                place.set_faults()
+                        fake.set_faults(down=True)
+                fake.set_faults()
                 await trio.sleep(10.0)
-            made = list(self.list_made(place))
+            made = list(self.list_made(fake))
         ids = [id for id, _ in made]
         assert len(ids) == len(set(ids)), "an edit took effect twice"
         for id, outcome in outcomes.items():
@@ -328,9 +319,9 @@
                 case EditConflict() | NotWritten() | Unchanged():
                     assert id not in ids
 
-    def list_made(self, place):
-        """Yield each edit in what was ever stored, with the version it made."""
-        past = place.platform.store._past[KEY]
+    def list_made(self, fake):
+        """Yield each edit that was ever stored, with the version that it created."""
+        past = fake.platform.store._past[KEY]
         known: set[str] = set()
         for entry in past:
             value = msgspec.json.decode(entry.value, type=SettingsObject)
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers, as their bytes come: whole, broken off, followed."""
+"""Parsing of answers: complete, truncated, invalid, and with trailing data."""
 
 import h11
 import pytest
@@ -50,7 +50,7 @@
         assert not reader.may_keep_alive
         assert reader.make_reply().body == b"whole"
 
-    def test_what_comes_before_the_answer_is_not_it(self):
+    def test_an_informational_answer_is_skipped(self):
         reader = read(b"HTTP/1.1 100 Continue\r\nx-a: 1\r\n\r\n" + WHOLE)
         assert reader.is_whole
         assert b"x-a" not in reader.make_reply().headers
@@ -60,24 +60,23 @@
         reader = read(b"HTTP/1.1 " + status + b"\r\n\r\n")
         assert reader.is_whole
 
-    def test_an_answer_to_head_has_no_body_whatever_it_announces(self):
+    def test_an_answer_to_head_has_no_body(self):
         reader = ReplyReader(has_no_body=True)
         reader.feed(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n")
         assert reader.is_whole
         assert reader.make_reply().body == b""
         assert not reader.may_keep_alive
 
-    def test_a_server_that_leaves_keeps_no_connection(self):
+    def test_connection_close_prevents_reuse(self):
         reader = read(WHOLE.replace(b"X-Proof: p", b"Connection: close"))
         assert reader.is_whole
         assert not reader.may_keep_alive
 
 
 class TestFollowed:
-    """A server answers twice, or an answer to a request long given up comes late.
+    """Data after a complete answer, such as a duplicate or a late answer.
 
-    What follows a whole answer would be read as the answer to the next request on the
-    connection, and a caller would get another one's.
+    It must not be read as the answer to the next request on the connection.
     """
 
     @pytest.mark.parametrize(
@@ -98,7 +97,7 @@
         assert read(CHUNKED + WHOLE).has_trailing_data
 
 
-class TestWrong:
+class TestInvalid:
     @pytest.mark.parametrize(
         "data",
         [
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,12 +1,12 @@
-"""The task that looks at all channels of a process in turn."""
+"""The task that checks all channels of a process periodically."""
 
 import trio
 
 from lavendergap.transport.rounds import PeriodicChecks
 
 
-class Checkable:
-    """Notes when it was looked at."""
+class CheckRecorder:
+    """Records the times of its checks."""
 
     def __init__(self) -> None:
         self.checks: list[float] = []
@@ -15,26 +15,26 @@
         self.checks.append(now)
 
 
-class TestRounds:
-    async def test_looks_at_each_until_it_is_discarded(self, autojump_clock):
-        rounds = PeriodicChecks(interval=0.125)
-        watched = Checkable()
-        rounds.add(watched)
+class TestPeriodicChecks:
+    async def test_checks_run_until_discarded(self, autojump_clock):
+        periodic = PeriodicChecks(interval=0.125)
+        recorder = CheckRecorder()
+        periodic.add(recorder)
         await trio.sleep(0.3)
-        assert watched.checks == [0.125, 0.25]
-        rounds.discard(watched)
+        assert recorder.checks == [0.125, 0.25]
+        periodic.discard(recorder)
         await trio.sleep(0.3)
-        assert len(watched.checks) == 2
-
-    async def test_a_round_that_comes_late_judges_nobody(self, autojump_clock):
-        # This process stood still for two seconds. Judged in that moment, with what
-        # the peers sent meanwhile still unread, all channels would be closed.
-        rounds = PeriodicChecks(interval=0.125)
-        watched = Checkable()
-        rounds.add(watched)
+        assert len(recorder.checks) == 2
+
+    async def test_a_late_check_is_skipped(self, autojump_clock):
+        # After a stall of this process, data of peers is still unread. A check at that
+        # moment would close all channels.
+        periodic = PeriodicChecks(interval=0.125)
+        recorder = CheckRecorder()
+        periodic.add(recorder)
         await trio.sleep(0.2)
         autojump_clock.jump(2.0)
         await trio.sleep(0.05)
-        assert watched.checks == [0.125]
+        assert recorder.checks == [0.125]
         await trio.sleep(0.125)
-        assert len(watched.checks) == 2
+        assert len(recorder.checks) == 2
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,9 +1,9 @@
-"""Tests of how the program starts."""
+"""Tests of the startup code."""
 
 import subprocess
 import sys
 
-# Prints the audit events by which Python starts processes, as they occur.
+# Prints each audit event of Python that starts a process.
 WATCH = """
 import sys
 starts = ("subprocess.Popen", "os.fork", "os.forkpty", "os.posix_spawn", "os.system")
@@ -17,8 +17,8 @@
 
 
 class TestImportTrio:
-    # An operator whose hosts forbid a second process sees the daemon fail as it
-    # starts: `import trio` alone runs /sbin/ldconfig through ctypes.
+    # A plain `import trio` runs /sbin/ldconfig through ctypes, which fails on hosts
+    # that forbid a second process.
     def test_the_daemon_starts_no_other_process(self):
         program = (
             "from lavendergap.startup import import_trio\n"
