--- a/src/lavendergap/commands/rollout.py
+++ b/src/lavendergap/commands/rollout.py
@@ -98,9 +98,7 @@
     newer settings, and an edit that no host accepts would be reported as in force.
     """
     if newest is None:
-        return (
-            f"version {found}; the platform does not answer whether it has this version"
-        )
+        return f"version {found}; not confirmed, since the platform does not answer"
     if found > newest:
         return (
             f"version {found}, newer than the platform's {newest}: was the platform "
--- a/src/lavendergap/transport/backend.py
+++ b/src/lavendergap/transport/backend.py
@@ -80,10 +80,10 @@
         self._origin = httpcore.Origin(
             b"http", server.address.ip.encode(), server.address.port
         )
-        self._host = str(server.address).encode()
-        self._search = self._make_url(b"/search")
-        self._run = self._make_url(b"/run")
-        self._health = self._make_url(b"/health")
+        self._host_header = str(server.address).encode()
+        self._search_url = self._make_url(b"/search")
+        self._run_url = self._make_url(b"/run")
+        self._health_url = self._make_url(b"/health")
 
     def _make_url(self, target: bytes) -> httpcore.URL:
         return httpcore.URL(
@@ -108,9 +108,12 @@
         if connection is None and not self._reserve():
             return self._make_refusal(Step.CONNECT, Reason.OVERLOADED)
         headers = build_headers(
-            call, attempt=attempt, host=self._host, left_ms=max(1, int(left * 1_000))
+            call,
+            attempt=attempt,
+            host=self._host_header,
+            left_ms=max(1, int(left * 1_000)),
         )
-        url = self._search if call.idempotent else self._run
+        url = self._search_url if call.idempotent else self._run_url
         limit = left
         if connection is not None and call.idempotent:
             limit = self._compute_timeout(connection, left=left, now=now)
@@ -148,14 +151,14 @@
     async def probe(self) -> ServerReport | None:
         """Query the health endpoint over a new connection; None without an answer.
 
-        On a reused connection, a silent connection could not be told from a server
-        that does not answer.
+        On a reused connection, a silent connection could not be distinguished from a
+        server that does not answer.
         """
         if not self._reserve():
             return None
-        headers = [(b"Host", self._host), (b"Connection", b"close")]
+        headers = [(b"Host", self._host_header), (b"Connection", b"close")]
         result = await self._exchange(
-            None, b"GET", self._health, headers, b"", limit=PROBE_TIMEOUT_S
+            None, b"GET", self._health_url, headers, b"", limit=PROBE_TIMEOUT_S
         )
         if not isinstance(result, Reply) or result.status != 200:
             return None
--- a/src/lavendergap/transport/callers.py
+++ b/src/lavendergap/transport/callers.py
@@ -352,14 +352,14 @@
 
 
 def _render_refusal(refusal: Refusal) -> Response:
-    after = math.ceil(get_retry_after_ms(refusal.outcome) / 1_000)
+    retry_after_s = math.ceil(get_retry_after_ms(refusal.outcome) / 1_000)
     status = HTTPStatus.GATEWAY_TIMEOUT
     if isinstance(refusal.outcome, NotRun):
         status = HTTPStatus.SERVICE_UNAVAILABLE
     return Response(
         status=status,
         body=encode_refusal(refusal),
-        headers=((b"retry-after", b"%d" % after),),
+        headers=((b"retry-after", b"%d" % retry_after_s),),
     )
 
 
--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -92,7 +92,7 @@
         self._exchanges: dict[int, Exchange] = {}
         self._last_id = 0
         self._received_at = 0.0
-        # When the first request without any byte received since was sent. It stays
+        # The send time of the first request after which no byte was received. It stays
         # set when that request is forgotten, so that a silent channel is detected
         # even if every request on it times out first.
         self._unanswered_since: float | None = None
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -50,7 +50,7 @@
 class GatewayRequest:
     """A caller's request and its route; times are seconds on the event loop's clock.
 
-    `goal` is when the answer has to be sent from this host for full credit.
+    `goal` is when the answer has to leave this host to meet the route's latency goal.
     """
 
     forward: ForwardedRequest
@@ -74,7 +74,7 @@
 class GatewayHandlers:
     """The operations that the daemon provides; `forward` never raises for a failure.
 
-    `forward` pushes work that can wait until the answer is sent onto the stack.
+    `forward` pushes callbacks onto the stack that run after the answer is sent.
     """
 
     get_routes: Callable[[], RouteIndex | None]
@@ -137,8 +137,8 @@
                 ),
             )
             return
-        with ExitStack() as after:
-            result = await self._forward_until_disconnect(request, receive, after)
+        with ExitStack() as deferred:
+            result = await self._forward_until_disconnect(request, receive, deferred)
             if result is None:
                 return
             ended = trio.current_time()
@@ -148,7 +148,7 @@
                 await self._send(send, self._render(request, result))
                 self._record_send_time(result)
             finally:
-                after.close()
+                deferred.close()
                 self._record_done(request, result, ended)
 
     async def _read(
@@ -235,7 +235,7 @@
             self._reserve.note(took_ms=(now - result.cut_at) * 1_000, now=now)
 
     async def _forward_until_disconnect(
-        self, request: GatewayRequest, receive: Receive, after: ExitStack
+        self, request: GatewayRequest, receive: Receive, deferred: ExitStack
     ) -> GatewayResult | None:
         """Forward, but cancel and return None when the caller's connection closes.
 
@@ -259,7 +259,7 @@
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(cancel_on_disconnect)
-            result = await self._handlers.forward(request, after)
+            result = await self._handlers.forward(request, deferred)
             nursery.cancel_scope.cancel()
         return result
 
@@ -358,9 +358,9 @@
 
 
 def _render_refusal(outcome: NotRun) -> _Reply:
-    after = max(MIN_RETRY_AFTER_MS, outcome.retry_after_ms) / 1_000
+    retry_after_s = max(MIN_RETRY_AFTER_MS, outcome.retry_after_ms) / 1_000
     return _Reply(
         status=HTTPStatus.SERVICE_UNAVAILABLE,
-        headers=((b"retry-after", b"%.3f" % after),),
+        headers=((b"retry-after", b"%.3f" % retry_after_s),),
         body=encode_error(f"not run: {outcome.step.value}: {outcome.reason.value}"),
     )
--- a/src/lavendergap/transport/platform.py
+++ b/src/lavendergap/transport/platform.py
@@ -158,7 +158,7 @@
     async def put(
         self, key: str, value: bytes, *, base: int | None
     ) -> Stored | Conflict | Refused | Unavailable:
-        """Write an object if it is at version `base`, or does not exist (None)."""
+        """Write an object if it is at version `base`; None if it must not exist."""
         headers = {"Content-Type": "application/json"}
         if base is None:
             headers["If-None-Match"] = "*"
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -290,7 +290,7 @@
 
 class TestAtMostOnce:
     async def test_only_a_recently_proved_connection_is_reused(self, clock):
-        """The outcome of a booking on a stale connection would be unknown."""
+        """On a stale connection the outcome of such a request would be unknown."""
         async with open_bench() as bench:
             for idle in (0.0, 0.5, 3.0):
                 await trio.sleep(idle)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -36,7 +36,7 @@
         )
         self.is_refusing = False
         self.is_leaving = False
-        self.unsettled = ""
+        self.not_ready_reason = ""
         self.n_searches = 0
         self.n_cancelled = 0
         self.search_s = 0.0
@@ -80,7 +80,7 @@
                 run=self.run,
                 look_up=self.look_up,
                 is_leaving=lambda: self.is_leaving,
-                get_unsettled=lambda: self.unsettled,
+                get_unsettled=lambda: self.not_ready_reason,
             )
         )
 
@@ -103,7 +103,7 @@
         self.body = b""
 
     async def send_to(
-        self, app: CallersApp, *parts: bytes, then_leave_after: float | None = None
+        self, app: CallersApp, *parts: bytes, disconnect_after: float | None = None
     ) -> "Call":
         messages = [
             {"type": "http.request", "body": part, "more_body": place < len(parts) - 1}
@@ -113,7 +113,7 @@
         async def receive() -> Message:
             if messages:
                 return messages.pop(0)
-            await trio.sleep(then_leave_after or float("inf"))
+            await trio.sleep(disconnect_after or float("inf"))
             return {"type": "http.disconnect"}
 
         async def send(message: Message) -> None:
@@ -217,7 +217,7 @@
         # A host that has only its settings file must not serve requests by settings
         # that accepted edits may have replaced.
         daemon = FakeDaemon()
-        daemon.unsettled = "no settings from the platform or a peer yet"
+        daemon.not_ready_reason = "no settings from the platform or a peer yet"
         call = await Call().send_to(daemon.build_app(), b"{}")
         assert (call.status, daemon.n_searches) == (503, 0)
         assert json.loads(call.body)["reason"] == "not ready"
@@ -226,7 +226,7 @@
         # The search of a disconnected caller would hold slots of backend servers.
         daemon = FakeDaemon()
         daemon.search_s = 10.0
-        await Call().send_to(daemon.build_app(), b"{}", then_leave_after=0.05)
+        await Call().send_to(daemon.build_app(), b"{}", disconnect_after=0.05)
         assert daemon.n_cancelled == 1
 
     async def test_leaving_host_has_connections_closed(self, autojump_clock):
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -41,12 +41,12 @@
 FETCH = Fetch(name="settings/demo", at_least=1)
 
 
-def greet(host: str, **changes) -> Hello:
+def make_hello(host: str, **changes) -> Hello:
     values = {"deployment": "demo", "host": host, "incarnation": 1, **changes}
     return Hello(**values)
 
 
-HELLO = encode_frame(Frame(id=0, message=greet("ptl-a-1")))
+HELLO = encode_frame(Frame(id=0, message=make_hello("ptl-a-1")))
 
 
 class Pair:
@@ -60,7 +60,7 @@
             own=accepts_as, handle=self._handle, lose=self.lost.append
         )
         self.dialer = Dialer(
-            own=greet("ptl-a-1"), nursery=nursery, connect=self._connect
+            own=make_hello("ptl-a-1"), nursery=nursery, connect=self._connect
         )
         self.n_connects = 0
         self.is_silent = False
@@ -95,7 +95,7 @@
 class TestDialer:
     async def test_requests_share_one_channel(self, autojump_clock):
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             for _ in range(3):
                 channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
                 assert isinstance(channel, Channel)
@@ -108,7 +108,7 @@
         # A middlebox drops the connection's state. Requests have to fail within the
         # silence timeout, and later ones have to use a new connection.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             pair.is_silent = True
@@ -126,7 +126,7 @@
         # The peer is slow to reply but answers pings. Closing the channel would lose
         # all requests on it.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             pair.answers = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
@@ -138,7 +138,7 @@
         # After a stall of this process, timers have expired and data of peers is still
         # unread. Closing the channels would lose all requests on them.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             pair.answers = False
@@ -155,7 +155,7 @@
         # If each request restarted the silence timeout, a silent channel on which all
         # requests time out earlier would never be closed.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             pair.is_silent = True
@@ -168,7 +168,7 @@
         # If ten queries dialled a silent host in turn, the last would wait for ten
         # timeouts.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             pair.is_silent = True
             async with trio.open_nursery() as dials:
                 for _ in range(10):
@@ -182,7 +182,7 @@
     ):
         # Cancelling one request must not cancel the dial that others wait for.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             pair.is_silent = True
             with trio.move_on_after(CONNECT_TIMEOUT_S / 2):
                 await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -196,7 +196,7 @@
     async def test_idle_channels_are_closed_on_both_sides(self, autojump_clock):
         # The channel of a host that no longer exists must not stay open.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             await trio.sleep(IDLE_TIMEOUT_S + 1)
@@ -208,7 +208,7 @@
         # A request for one host must not be served by another that has its address: a
         # ticket's issuer is one process.
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-9"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-9"))
             assert await pair.dialer.dial("ptl-b-1", ADDRESS) is Loss.REFUSED
             nursery.cancel_scope.cancel()
 
@@ -223,8 +223,8 @@
             HELLO + LENGTH.pack(MAX_FRAME_BYTES + 1),
             HELLO + LENGTH.pack(16) + b"\xff" * 16,
             encode_frame(Frame(id=1, message=FETCH)),
-            encode_frame(Frame(id=0, message=greet("x", format=99))),
-            encode_frame(Frame(id=0, message=greet("x", deployment="other"))),
+            encode_frame(Frame(id=0, message=make_hello("x", format=99))),
+            encode_frame(Frame(id=0, message=make_hello("x", deployment="other"))),
             b"",
         ],
         ids=[
@@ -243,7 +243,7 @@
         self, sent, autojump_clock
     ):
         async with trio.open_nursery() as nursery:
-            pair = Pair(nursery=nursery, accepts_as=greet("ptl-b-1"))
+            pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-1"))
             ours, theirs = trio.testing.memory_stream_pair()
             nursery.start_soon(pair.acceptor.serve_stream, theirs)
             if sent:
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -390,7 +390,7 @@
             assert (counter.n_steps, counter.n_tasks) == (30, 0)
 
     async def test_a_request_that_could_not_be_sent_has_not_run(self):
-        # No byte was sent, so that a booking may be retried on another server.
+        # No byte was sent, so that the request may be retried on another server.
         async with open_bench(answer(), answer()) as bench:
             await bench.call()
             [connection] = bench.client._idle
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -59,7 +59,7 @@
 
 
 @dataclass
-class Port:
+class Bench:
     """The application with a fixed result, and a record of what it did."""
 
     result: GatewayResult | None = None
@@ -75,7 +75,7 @@
         *,
         headers: dict[bytes, bytes] | None = None,
         body: bytes = b"",
-        leaves_after: float | None = None,
+        disconnect_after: float | None = None,
     ) -> tuple[int, dict[bytes, bytes], bytes]:
         app = GatewayApp(
             handlers=GatewayHandlers(
@@ -92,10 +92,10 @@
         async def receive() -> dict[str, Any]:
             if incoming:
                 return incoming.pop(0)
-            if leaves_after is None:
+            if disconnect_after is None:
                 await trio.sleep_forever()
             else:
-                await trio.sleep(leaves_after)
+                await trio.sleep(disconnect_after)
             return {"type": "http.disconnect"}
 
         async def send(message: dict[str, Any]) -> None:
@@ -137,21 +137,21 @@
 
 class TestRequests:
     async def test_the_longest_prefix_wins_and_the_deadline_is_the_nearer_one(self):
-        port = Port(result=Answered(body=b"x"))
-        await port.ask(b"/a/b/c")
-        [request] = port.seen
+        bench = Bench(result=Answered(body=b"x"))
+        await bench.ask(b"/a/b/c")
+        [request] = bench.seen
         assert request.route.name == "r2"
         assert request.forward.target == b"/a/b/c?q=1"
         assert request.deadline - request.started == pytest.approx(0.25)
-        await port.ask(headers=HEADERS | {b"x-time-left": b"9000"})
-        request = port.seen[-1]
+        await bench.ask(headers=HEADERS | {b"x-time-left": b"9000"})
+        request = bench.seen[-1]
         assert request.deadline - request.started == pytest.approx(0.4)
 
     async def test_headers_of_one_connection_are_left_out(self):
-        port = Port(result=Answered(body=b"x"))
+        bench = Bench(result=Answered(body=b"x"))
         extra = {b"connection": b"x-hop", b"x-hop": b"1", b"accept": b"a"}
-        await port.ask(headers=HEADERS | extra)
-        names = [name for name, _ in port.seen[0].forward.headers]
+        await bench.ask(headers=HEADERS | extra)
+        names = [name for name, _ in bench.seen[0].forward.headers]
         assert names == [b"host", b"x-attempt", b"x-time-left", b"accept"]
 
     @pytest.mark.parametrize(
@@ -166,33 +166,33 @@
         ],
     )
     async def test_an_invalid_request_is_rejected(self, path, headers, body, status):
-        port = Port(result=Answered(body=b"x"))
-        assert (await port.ask(path, headers=headers, body=body))[0] == status
-        assert port.seen == []
+        bench = Bench(result=Answered(body=b"x"))
+        assert (await bench.ask(path, headers=headers, body=body))[0] == status
+        assert bench.seen == []
 
     async def test_a_host_name_may_have_a_port(self):
-        port = Port(result=Answered(body=b"x"))
+        bench = Bench(result=Answered(body=b"x"))
         headers = HEADERS | {b"host": b"A.example:8104"}
-        assert (await port.ask(headers=headers))[0] == 200
+        assert (await bench.ask(headers=headers))[0] == 200
 
     async def test_without_routes_requests_are_refused_with_a_short_retry_delay(self):
-        port = Port(index=None)
-        status, headers, _ = await port.ask()
+        bench = Bench(index=None)
+        status, headers, _ = await bench.ask()
         assert status == 503
         assert float(headers[b"retry-after"]) < 1.0
 
     async def test_a_disconnect_cancels_the_request(self, autojump_clock):
-        port = Port()
-        status, _, _ = await port.ask(leaves_after=0.1)
+        bench = Bench()
+        status, _, _ = await bench.ask(disconnect_after=0.1)
         assert status == 0
-        assert port.was_cancelled
+        assert bench.was_cancelled
 
 
 class TestOutcomes:
     async def test_an_answer_is_returned_unchanged(self):
         headers = ((b"x-proof", b"p"), (b"content-type", b"t"))
-        port = Port(result=Answered(body=b"whole", status=201, headers=headers))
-        status, got, body = await port.ask()
+        bench = Bench(result=Answered(body=b"whole", status=201, headers=headers))
+        status, got, body = await bench.ask()
         assert (status, body) == (201, b"whole")
         assert got == {
             b"x-proof": b"p",
@@ -209,14 +209,14 @@
             proofs={"s1": ((b"x-proof", b"p1"),), "s3": ((b"x-proof", b"p3"),)},
             coverage=Coverage(n_asked=3, n_answered=2, share=0.67, missing=(missing,)),
         )
-        status, headers, body = await Port(result=joined).ask()
+        status, headers, body = await Bench(result=joined).ask()
         assert (status, body) == (200, b"r" * 16)
         assert headers[b"x-proofs"] == b"p1, p3"
         assert headers[b"x-missing"] == b"1"
 
     async def test_not_run_has_a_retry_delay(self):
-        port = Port(result=not_run(Reason.OVERLOADED, after_ms=250))
-        status, headers, _ = await port.ask()
+        bench = Bench(result=not_run(Reason.OVERLOADED, after_ms=250))
+        status, headers, _ = await bench.ask()
         assert status == 503
         assert headers[b"retry-after"] == b"0.250"
 
@@ -231,13 +231,13 @@
     )
     async def test_an_unknown_outcome_has_no_retry_delay(self, reason, status):
         outcome = Unknown(step=Step.RECEIVE, peer="i-1", reason=reason)
-        got, headers, _ = await Port(result=outcome).ask()
+        got, headers, _ = await Bench(result=outcome).ask()
         assert got == status
         assert b"retry-after" not in headers
 
     async def test_answers_of_a_leaving_host_close_their_connections(self):
-        port = Port(result=Answered(body=b"x"), is_leaving=True)
-        _, headers, _ = await port.ask()
+        bench = Bench(result=Answered(body=b"x"), is_leaving=True)
+        _, headers, _ = await bench.ask()
         assert headers[b"connection"] == b"close"
 
 
@@ -252,15 +252,15 @@
     )
 
     async def test_the_answer_is_sent_before_other_work(self):
-        port = Port(result=self.JOINED)
-        assert (await port.ask())[0] == 200
-        assert port.done == ["http.response.start", "http.response.body", "after"]
+        bench = Bench(result=self.JOINED)
+        assert (await bench.ask())[0] == 200
+        assert bench.done == ["http.response.start", "http.response.body", "after"]
 
     async def test_other_work_is_done_after_a_disconnect(self, autojump_clock):
-        port = Port()
-        await port.ask(leaves_after=0.1)
-        assert port.was_cancelled
-        assert port.done == ["after"]
+        bench = Bench()
+        await bench.ask(disconnect_after=0.1)
+        assert bench.was_cancelled
+        assert bench.done == ["after"]
 
 
 class TestWeights:
