--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds an entry host; for tests and measurements."""
+"""Simulators of the systems around an entry host, for tests and measurements."""
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,4 +1,4 @@
-"""Checks of what callers get: an answer is counted only if it is right."""
+"""Checks the answers that callers receive, for the load tool."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 SHARE_TOLERANCE = 1e-5
 
 ShardShares = Mapping[int, Mapping[str, float]]
-"""By index version, the share of the library that each shard holds."""
+"""The share of the library in each shard, by index version and shard name."""
 
 
 class Outcome(StrEnum):
-    """What became of a request, as the load tool counts it.
+    """The outcome of a request, as the load tool counts it.
 
-    `CUT` is a connection that ended before the whole answer, `LOST` no answer by
-    the deadline and the grace after it, `REFUSED` no entry host that took the
-    connection, `REJECTED` a 4xx or 500 and `WRONG` an answer that fails a check.
-    `UNCOVERED` is an answer that covers no shard.
+    `UNCOVERED` is an answer that covers no shard, `WRONG` an answer that fails a
+    check and `REJECTED` a 4xx or 500 reply. `CUT` means that the connection ended
+    before the whole answer, `LOST` that no answer came by the deadline plus the
+    grace period, and `REFUSED` that no entry host accepted the connection.
     """
 
     ANSWERED = "answered"
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Sent:
-    """What a request said, against which its answer is checked."""
+class SentRequest:
+    """The parts of a request that its answer is checked against."""
 
     request_id: str
     service: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """An outcome with its reason and, for an answer, the share it covers."""
+    """An outcome with its reason and, for an answer, the covered share."""
 
     outcome: Outcome
     reason: str = ""
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Result:
-    """A backend stand-in's result; see standins.result.Result."""
+    """A result of the backend stand-in; see `standins.result.Result`."""
 
     shard: str
     version: int
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Issued:
+class _TicketAnswer:
     ticket: str
 
 
@@ -131,51 +131,51 @@
 
 
 def check_query(
-    answer: Answer, sent: Sent, shares: ShardShares | None = None
+    answer: Answer, sent: SentRequest, shares: ShardShares | None = None
 ) -> Verdict:
-    """Judge the answer to a query.
+    """Check and classify the answer to a query.
 
-    Without `shares` the shards of a snapshot are taken to be of equal size.
+    Without `shares`, all shards of a snapshot are assumed to be of equal size.
     """
     try:
         match answer.status:
             case 200 | 504 if b'"coverage"' in answer.body:
-                whole = _decode(answer, _QueryAnswer)
-                _check_whole(whole, sent, shares)
-                return _judge_coverage(whole)
+                query_answer = _decode(answer, _QueryAnswer)
+                _check_query_answer(query_answer, sent, shares)
+                return _classify_coverage(query_answer)
             case 503 | 504:
-                return _judge_refusal(answer, sent)
+                return _classify_refusal(answer, sent)
     except _WrongAnswerError as error:
         return Verdict(outcome=Outcome.WRONG, reason=str(error))
     return Verdict(outcome=Outcome.REJECTED, reason=_describe(answer))
 
 
-def check_ticket(answer: Answer, sent: Sent) -> str | Verdict:
-    """Return the ticket that was issued, or the verdict on a refusal."""
+def check_ticket(answer: Answer, sent: SentRequest) -> str | Verdict:
+    """Return the issued ticket, or the verdict if there is none."""
     try:
         match answer.status:
             case 201:
-                ticket: str = _decode(answer, _Issued).ticket
+                ticket: str = _decode(answer, _TicketAnswer).ticket
                 return ticket
             case 503:
-                return _judge_refusal(answer, sent)
+                return _classify_refusal(answer, sent)
     except _WrongAnswerError as error:
         return Verdict(outcome=Outcome.WRONG, reason=str(error))
     return Verdict(outcome=Outcome.REJECTED, reason=_describe(answer))
 
 
-def check_booking(answer: Answer, sent: Sent) -> Verdict:
-    """Judge the answer to a request that was sent with a ticket."""
+def check_booking(answer: Answer, sent: SentRequest) -> Verdict:
+    """Check and classify the answer to a booking, which was sent with a ticket."""
     try:
         match answer.status:
             case 200:
-                booked = _decode(answer, _BookingAnswer)
-                _expect(booked.request_id, sent.request_id, "request_id")
-                _expect(booked.outcome, "answered", "outcome")
-                _check_result(booked.result, sent)
+                booking = _decode(answer, _BookingAnswer)
+                _expect(booking.request_id, sent.request_id, "request_id")
+                _expect(booking.outcome, "answered", "outcome")
+                _check_result(booking.result, sent)
                 return Verdict(outcome=Outcome.ANSWERED)
             case 503 | 504:
-                return _judge_refusal(answer, sent)
+                return _classify_refusal(answer, sent)
     except _WrongAnswerError as error:
         return Verdict(outcome=Outcome.WRONG, reason=str(error))
     return Verdict(outcome=Outcome.REJECTED, reason=_describe(answer))
@@ -193,32 +193,34 @@
         raise _WrongAnswerError(f"{what} is {found!r} instead of {expected!r}")
 
 
-def _check_result(result: _Result, sent: Sent) -> None:
+def _check_result(result: _Result, sent: SentRequest) -> None:
     _expect(result.query, sent.query, "a result's query")
-    _expect(result.length, sent.length, "a result's length of the body")
+    _expect(result.length, sent.length, "a result's body length")
 
 
-def _check_whole(answer: _QueryAnswer, sent: Sent, shares: ShardShares | None) -> None:
+def _check_query_answer(
+    answer: _QueryAnswer, sent: SentRequest, shares: ShardShares | None
+) -> None:
     _expect(answer.request_id, sent.request_id, "request_id")
     _expect(answer.snapshot.service, sent.service, "the snapshot's service")
-    for one in answer.results:
-        _check_result(one.result, sent)
-        _expect(one.result.shard, one.shard, "a result's shard")
-        _expect(one.result.version, answer.snapshot.version, "a result's version")
+    for item in answer.results:
+        _check_result(item.result, sent)
+        _expect(item.result.shard, item.shard, "a result's shard")
+        _expect(item.result.version, answer.snapshot.version, "a result's version")
     _check_coverage(answer, shares)
 
 
 def _check_coverage(answer: _QueryAnswer, shares: ShardShares | None) -> None:
     coverage = answer.coverage
-    answered = {one.shard for one in answer.results}
-    missing = {one.shard for one in coverage.missing}
+    answered = {result.shard for result in answer.results}
+    missing = {shard.shard for shard in coverage.missing}
     _expect(len(answered), len(answer.results), "the number of distinct shards")
     _expect(len(missing), len(coverage.missing), "the number of missing shards")
     _expect(answered & missing, set(), "the set of shards both answered and missing")
     _expect(coverage.answered, len(answered), "coverage.answered")
     _expect(coverage.asked, len(answered) + len(missing), "coverage.asked")
-    is_whole = not missing
-    _expect(answer.outcome, "answered" if is_whole else "partly answered", "outcome")
+    is_complete = not missing
+    _expect(answer.outcome, "answered" if is_complete else "partly answered", "outcome")
     if shares is None:
         share = len(answered) / max(1, coverage.asked)
     else:
@@ -237,7 +239,7 @@
     return sum(by_shard[shard] for shard in answered)
 
 
-def _judge_coverage(answer: _QueryAnswer) -> Verdict:
+def _classify_coverage(answer: _QueryAnswer) -> Verdict:
     coverage = answer.coverage
     if coverage.answered == 0:
         outcome = Outcome.UNCOVERED
@@ -245,11 +247,11 @@
         outcome = Outcome.PARTLY
     else:
         outcome = Outcome.ANSWERED
-    reasons = sorted({f"{one.step}: {one.reason}" for one in coverage.missing})
+    reasons = sorted({f"{shard.step}: {shard.reason}" for shard in coverage.missing})
     return Verdict(outcome=outcome, reason=", ".join(reasons), share=coverage.share)
 
 
-def _judge_refusal(answer: Answer, sent: Sent) -> Verdict:
+def _classify_refusal(answer: Answer, sent: SentRequest) -> Verdict:
     refusal = _decode(answer, _Refusal)
     _expect(refusal.request_id, sent.request_id, "request_id")
     is_not_run = answer.status == 503
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for backend servers: slots, a short queue, and faults on demand."""
+"""A stand-in for backend servers, with slots, a short queue and faults on demand."""
 
 from collections import Counter, deque
 from dataclasses import asdict, dataclass, replace
@@ -41,7 +41,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Counts:
-    """What one backend server saw since it started."""
+    """Counters of one backend server since it started."""
 
     received: int = 0
     run: int = 0
@@ -64,7 +64,7 @@
 
 
 class Call:
-    """One call to /search or /run between its arrival and its reply."""
+    """A call to /search or /run that has not been answered yet."""
 
     def __init__(
         self, *, request: Request, attempt: str, version: int, deadline: float
@@ -79,18 +79,18 @@
         self.has_slot = False
 
     def cancel(self) -> None:
-        """Stop the call where it waits."""
+        """Cancel the call, whether it is queued or in service."""
         self.is_cancelled = True
         self.scope.cancel()
 
-    def give_slot(self) -> None:
-        """End the call's wait in the queue."""
+    def assign_slot(self) -> None:
+        """Assign a slot to the call and end its wait in the queue."""
         self.has_slot = True
         self.scope.cancel()
 
 
 class BackendServer:
-    """One backend server at its own address, with its own slots and faults."""
+    """One backend server with its own address, slots and faults."""
 
     def __init__(self, *, server: Server, faults: BackendFaults, queue_limit: int):
         now = trio.current_time()
@@ -99,7 +99,7 @@
         self.runs: Counter[str] = Counter()
         self.queries: Counter[str] = Counter()
         self.history = FaultHistory(faults=faults, now=now)
-        self.first_faults = faults
+        self.initial_faults = faults
         self.queue_limit = queue_limit
         self.port = server.address.port
         self._draws = Draws(seed=faults.seed, name=server.name)
@@ -107,9 +107,9 @@
         self._queue: deque[Call] = deque()
         self._calls: dict[str, Call] = {}
         self._connections: set[Connection] = set()
-        self._life = trio.CancelScope()
-        self._revival = trio.Event()
-        self._alive_since = now
+        self._serve_scope = trio.CancelScope()
+        self._restart_changed = trio.Event()
+        self._cold_since = now
         self._spoiler = Spoiler()
         self._reported_load = self._measure_load()
         self._load_reported_at = now
@@ -120,7 +120,7 @@
         return self.history.faults
 
     def get_counts(self) -> dict[str, int]:
-        """Return the counts, with those of the distinct runs of /run."""
+        """Return the counters, with the current load and the distinct runs of /run."""
         return {
             **asdict(self.counts),
             "in_use": self._in_use,
@@ -129,12 +129,15 @@
             "run_twice": sum(1 for n in self.runs.values() if n > 1),
         }
 
-    # Life and death.
+    # Start, crash and restart.
 
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled, dying and coming back as the faults say."""
+        """Serve until cancelled; stop and restart as the faults `dead` and `crash` say.
+
+        The task's status is the port.
+        """
         if self.faults.dead:
             task_status.started(self.port)
             task_status = trio.TASK_STATUS_IGNORED
@@ -145,20 +148,20 @@
             self.port = listener.socket.getsockname()[1]
             task_status.started(self.port)
             task_status = trio.TASK_STATUS_IGNORED
-            self._alive_since = trio.current_time()
-            with trio.CancelScope() as self._life:
+            self._cold_since = trio.current_time()
+            with trio.CancelScope() as self._serve_scope:
                 if self.faults.dead:
-                    self._life.cancel()
+                    self._serve_scope.cancel()
                 await self._serve(listener)
 
     async def _wait_while_dead(self) -> None:
-        """Wait for a change of the faults or for the time of the restart."""
-        self._revival = trio.Event()
+        """Wait for a change of the faults or for the restart delay."""
+        self._restart_changed = trio.Event()
         if self.faults.restart_ms is None:
-            await self._revival.wait()
+            await self._restart_changed.wait()
             return
         with trio.move_on_after(self.faults.restart_ms / 1_000) as scope:
-            await self._revival.wait()
+            await self._restart_changed.wait()
         if scope.cancelled_caught:
             self.set_faults(replace(self.faults, dead=False, restart_ms=None))
 
@@ -191,30 +194,30 @@
             await trio.aclose_forcefully(stream)
 
     def set_faults(self, faults: BackendFaults) -> None:
-        """Put `faults` in force at once; `silence` and `dead` act now."""
+        """Put `faults` in force, and apply `silence` and `dead` to open connections."""
         before = self.faults
         now = trio.current_time()
         if faults.silence:
             self._silence()
-        # Were it kept, the next change of any fault would silence again.
+        # If it were kept, the next change of any fault would silence connections again.
         self.history.set_faults(replace(faults, silence=False), now)
         if faults.seed != before.seed:
             self._draws = Draws(seed=faults.seed, name=self.server.name)
         if faults.cold_s != before.cold_s:
-            self._alive_since = now
+            self._cold_since = now
         if (faults.dead, faults.restart_ms) != (before.dead, before.restart_ms):
-            self._revival.set()
+            self._restart_changed.set()
         if faults.dead and not before.dead:
-            self._die()
+            self._stop_abruptly()
 
     def _silence(self) -> None:
         for connection in self._connections:
             connection.is_silent = True
 
-    def _die(self) -> None:
+    def _stop_abruptly(self) -> None:
         for connection in self._connections:
             connection.reset()
-        self._life.cancel()
+        self._serve_scope.cancel()
 
     async def _crash(self) -> None:
         self.set_faults(replace(self.faults, crash="no", dead=True))
@@ -223,7 +226,7 @@
     # Requests.
 
     async def handle(self, request: Request, connection: Connection) -> Reply:
-        """Answer one request of a caller of this server."""
+        """Answer one request to this server."""
         match request.method, request.path:
             case "POST", "/search" | "/run":
                 return await self._handle_call(request, connection)
@@ -278,17 +281,17 @@
             version = int(request.headers.get("index-version", "0"))
         except ValueError:
             return make_error(400, "Deadline-Ms or Index-Version is not a number.")
-        # Written so that it refuses "nan" too.
+        # Negated so that NaN is refused too.
         if not left_ms <= MAX_DEADLINE_MS:
             return make_error(400, f"Deadline-Ms is over {MAX_DEADLINE_MS:.0f}.")
         deadline = trio.current_time() + left_ms / 1_000
         call = Call(
             request=request, attempt=attempt, version=version, deadline=deadline
         )
-        reply = self._refuse_at_arrival(call)
+        reply = self._refuse_on_arrival(call)
         if reply is None:
             reply = await self._queue_call(call, connection)
-        # The load is that after this call, which holds no slot any more.
+        # Computed after the call has released its slot.
         load = f"{self._in_use}/{self.server.slots}/{len(self._queue)}"
         return replace(reply, headers=(*reply.headers, ("Load", load)))
 
@@ -299,7 +302,7 @@
             return
         self.queries[query] += 1
 
-    def _refuse_at_arrival(self, call: Call) -> Reply | None:
+    def _refuse_on_arrival(self, call: Call) -> Reply | None:
         faults = self.faults
         if faults.state != "serving":
             self.counts.refused_state += 1
@@ -313,11 +316,11 @@
     async def _queue_call(self, call: Call, connection: Connection) -> Reply:
         self._calls[call.attempt] = call
         try:
-            return await self._take_slot(call, connection)
+            return await self._run_in_slot(call, connection)
         finally:
             self._calls.pop(call.attempt, None)
 
-    async def _take_slot(self, call: Call, connection: Connection) -> Reply:
+    async def _run_in_slot(self, call: Call, connection: Connection) -> Reply:
         if self._in_use < self.server.slots:
             self._in_use += 1
             call.has_slot = True
@@ -341,8 +344,8 @@
                 await connection.wait_for_close()
                 call.is_cancelled = True
         except trio.Cancelled:
-            # The server dies: a slot that came in the same moment goes back, or
-            # the server would come to life again with one slot less.
+            # The server crashes. A slot assigned at the same moment is released, or
+            # the restarted server would have one slot fewer.
             if call.has_slot:
                 self._release_slot()
             raise
@@ -360,7 +363,7 @@
 
     def _release_slot(self) -> None:
         if self._queue:
-            self._queue.popleft().give_slot()
+            self._queue.popleft().assign_slot()
         else:
             self._in_use -= 1
 
@@ -392,7 +395,7 @@
         call.scope = trio.CancelScope()
         with call.scope:
             call.scope.deadline = trio.current_time() + self._draw_service_s()
-            await self._serve_time(call, connection)
+            await self._wait_service_time(call, connection)
         if call.is_cancelled:
             self.counts.cancelled += 1
             return self._fail(call, "cancelled")
@@ -402,7 +405,8 @@
             return self._fail(call, "failed after it was run")
         return self._answer(call)
 
-    async def _serve_time(self, call: Call, connection: Connection) -> None:
+    async def _wait_service_time(self, call: Call, connection: Connection) -> None:
+        """Wait until the call's scope ends the wait or the caller disconnects."""
         if not self.faults.cancels:
             await trio.sleep_forever()
         await connection.wait_for_close()
@@ -419,7 +423,7 @@
         self.runs[key] += 1
 
     def _draw_service_s(self) -> float:
-        age_s = trio.current_time() - self._alive_since
+        age_s = trio.current_time() - self._cold_since
         return self._draws.draw_service_s(self.faults, age_s)
 
     # Replies.
@@ -467,7 +471,7 @@
 
 
 class Fleet:
-    """The backend servers of one process and their control port."""
+    """The backend servers of one process; handles requests to their control port."""
 
     def __init__(self, *, servers: tuple[BackendServer, ...]):
         self.servers = servers
@@ -483,7 +487,7 @@
                 return self._set_faults(request.body)
             case "POST", "/faults/clear":
                 for server in self.servers:
-                    server.set_faults(server.first_faults)
+                    server.set_faults(server.initial_faults)
                 return make_json_reply({})
             case "GET", "/counts":
                 return make_json_reply(
@@ -520,7 +524,7 @@
 def make_fleet(
     servers: tuple[Server, ...], *, faults: BackendFaults, queue_per_slot: int
 ) -> Fleet:
-    """Make the stand-ins of `servers`, each with a queue in proportion to its slots."""
+    """Make stand-ins for `servers`; each queues `queue_per_slot` calls per slot."""
     return Fleet(
         servers=tuple(
             BackendServer(server=s, faults=faults, queue_limit=s.slots * queue_per_slot)
@@ -531,7 +535,7 @@
 
 @click.command()
 @click.option("--settings", type=click.Path(exists=True, path_type=Path), required=True)
-@click.option("--only", multiple=True, default=("*",), help="Pattern of names; many.")
+@click.option("--only", multiple=True, default=("*",), help="Name pattern; repeatable.")
 @click.option("--control", required=True, help="IP:PORT of the control port.")
 @click.option("--service-ms", type=float, default=5.0, show_default=True)
 @click.option("--queue-per-slot", type=int, default=QUEUE_PER_SLOT, show_default=True)
@@ -542,7 +546,7 @@
     service_ms: float,
     queue_per_slot: int,
 ) -> None:
-    """Serve every backend server of a settings file whose name matches --only."""
+    """Serve the backend servers of a settings file whose names match --only."""
     servers = list_servers(read_settings(settings), only)
     address = parse_address(control)
     faults = BackendFaults(service_ms=service_ms)
--- a/standins/client.py
+++ b/standins/client.py
@@ -1,4 +1,4 @@
-"""One HTTP client connection by h11, for the load tool, measurements and tests."""
+"""An HTTP client connection, for the load tool, measurements and tests."""
 
 import select
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """One whole answer; names of headers are in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -28,18 +28,18 @@
 
 
 class LostConnectionError(Exception):
-    """The connection broke or ended before the whole answer had come.
+    """The connection failed or ended before the whole answer was received.
 
-    `has_answer_bytes` says whether a part of the answer had come.
+    `has_answer_bytes` is true if a part of the answer was received.
     """
 
     def __init__(self, *, has_answer_bytes: bool):
-        super().__init__("the connection ended before the whole answer had come")
+        super().__init__("the connection ended before the whole answer was received")
         self.has_answer_bytes = has_answer_bytes
 
 
 class Client:
-    """A connection that sends one request at a time and is kept alive."""
+    """A persistent connection that carries one request at a time."""
 
     def __init__(self, *, stream: trio.SocketStream):
         self._stream = stream
@@ -48,14 +48,14 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent."""
+        """Whether another request can be sent."""
         return self._http.our_state is h11.IDLE
 
     def has_input(self) -> bool:
-        """Whether there is something to read: between requests, that is the end.
+        """Return whether there is input to read.
 
-        An idle connection that the other side has closed would lose the request
-        sent over it.
+        Between requests, input means that the server has closed the connection, and
+        a request sent over it would be lost.
         """
         poll = select.poll()
         poll.register(self._stream.socket.fileno(), select.POLLIN)
@@ -71,12 +71,12 @@
     ) -> Answer:
         """Send one request and return its whole answer.
 
-        Raises LostConnectionError. A cancelled request leaves the connection
-        unusable; close it.
+        Raises LostConnectionError. After a cancelled request the connection is
+        unusable and has to be closed.
         """
-        names = [*(headers or {}).items(), ("Host", "lavendergap")]
-        names.append(("Content-Length", str(len(body))))
-        data = self._http.send(h11.Request(method=method, target=path, headers=names))
+        lines = [*(headers or {}).items(), ("Host", "lavendergap")]
+        lines.append(("Content-Length", str(len(body))))
+        data = self._http.send(h11.Request(method=method, target=path, headers=lines))
         if body:
             data += self._http.send(h11.Data(data=body))
         data += self._http.send(h11.EndOfMessage())
@@ -117,7 +117,7 @@
                 raise h11.RemoteProtocolError("closed before an answer")
 
     async def aclose(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without waiting."""
         await trio.aclose_forcefully(self._stream)
 
 
--- a/standins/draws.py
+++ b/standins/draws.py
@@ -1,4 +1,4 @@
-"""The seeded chance of one backend stand-in: service times and shares of calls."""
+"""Seeded random draws of a backend stand-in: service times and which calls fail."""
 
 import random
 
@@ -6,18 +6,18 @@
 
 
 class Draws:
-    """Random draws that a seed and the server's name fix."""
+    """Random draws that are reproducible for a seed and a server's name."""
 
     def __init__(self, *, seed: int, name: str):
         self.seed = seed
         self._random = random.Random(f"{seed} {name}")
 
     def happens(self, share: float) -> bool:
-        """Return true for so large a share of the calls."""
+        """Return True with the probability `share`."""
         return share > 0.0 and self._random.random() < share
 
     def draw_service_s(self, faults: BackendFaults, age_s: float) -> float:
-        """Draw a service time in seconds of a server that was cold `age_s` ago."""
+        """Draw a service time in seconds, `age_s` seconds after a cold start."""
         service_s = faults.service_ms / 1_000
         match faults.service_law:
             case "exponential":
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the stand-ins: what their control ports set and show."""
+"""The faults of the stand-ins, as their control ports accept and return them."""
 
 from collections import deque
 from dataclasses import dataclass, fields, replace
@@ -6,17 +6,17 @@
 
 import msgspec
 
-Positive = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Version = Annotated[int, msgspec.Meta(ge=1)]
 
-MAX_HISTORY = 64
+MAX_HISTORY_ENTRIES = 64
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """What `GET /load` says: calls in service, slots and calls in the queue."""
+    """The reply to `GET /load`: calls in service, slots and calls in the queue."""
 
     in_use: int
     slots: int
@@ -25,43 +25,42 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BackendFaults:
-    """How one backend server behaves. A share is that of calls, from 0 to 1.
+    """The behaviour of one backend server. Shares are of calls, from 0 to 1.
 
-    `silence` is an event: each time that it is set to true, the connections open
-    at that moment stop answering for good, and the field goes back to false.
-    `crash` is one too: the server dies at its next call, and it goes back to "no".
-    standins/README.md tells of
-    each field with an example.
+    `silence` acts once: when it is set to true, the connections open at that moment
+    never answer again, and the field returns to false. `crash` acts once, too: the
+    server crashes at its next call, and the field returns to "no".
+    standins/README.md explains each field with an example.
     """
 
-    service_ms: Positive = 5.0
+    service_ms: NonNegative = 5.0
     service_law: Literal["fixed", "exponential", "lognormal"] = "fixed"
-    service_sigma: Positive = 0.5
+    service_sigma: NonNegative = 0.5
     straggle_share: Share = 0.0
-    straggle_factor: Positive = 20.0
+    straggle_factor: NonNegative = 20.0
     seed: int = 1
 
     index_versions: tuple[Version, ...] = (1,)
     next_index_versions: tuple[Version, ...] = ()
-    switch_after_ms: Positive = 0.0
+    switch_after_ms: NonNegative = 0.0
     shards: dict[Version, tuple[str, ...]] | None = None
 
     dead: bool = False
     silence: bool = False
     crash: Literal["no", "before run", "after run"] = "no"
-    restart_ms: Positive | None = None
-    connect_ms: Positive = 0.0
-    cold_s: Positive = 0.0
-    cold_factor: Positive = 10.0
+    restart_ms: NonNegative | None = None
+    connect_ms: NonNegative = 0.0
+    cold_s: NonNegative = 0.0
+    cold_factor: NonNegative = 10.0
 
     shed: bool = False
     state: Literal["serving", "starting", "draining"] = "serving"
     cancels: bool = True
 
     health_says: Literal["truth", "serving", "starting", "draining"] = "truth"
-    health_lag_ms: Positive = 0.0
+    health_lag_ms: NonNegative = 0.0
     load_says: Load | None = None
-    load_lag_ms: Positive = 0.0
+    load_lag_ms: NonNegative = 0.0
 
     truncated: Share = 0.0
     wrong_shard: Share = 0.0
@@ -77,22 +76,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformFaults:
-    """How the platform behaves.
+    """The behaviour of the platform.
 
-    `lose_replies` counts down: so many writes take effect and are not answered.
-    `lose_requests` does too: so many writes are neither done nor answered.
+    `lose_replies` is the number of next writes that take effect without a reply,
+    `lose_requests` the number of next writes that neither take effect nor get one.
+    Each counts down to 0.
     """
 
     down: bool = False
     silent: bool = False
-    delay_ms: Positive = 0.0
-    stale_reads_ms: Positive = 0.0
-    stale_watches_ms: Positive = 0.0
-    hosts_lag_ms: Positive = 2_000.0
+    delay_ms: NonNegative = 0.0
+    stale_reads_ms: NonNegative = 0.0
+    stale_watches_ms: NonNegative = 0.0
+    hosts_lag_ms: NonNegative = 2_000.0
     lose_replies: Count = 0
     lose_requests: Count = 0
-    writes_per_s: Positive = 300.0
-    reads_per_s: Positive = 2_000.0
+    writes_per_s: NonNegative = 300.0
+    reads_per_s: NonNegative = 2_000.0
 
 
 AnyFaults = TypeVar("AnyFaults", BackendFaults, PlatformFaults)
@@ -101,8 +101,7 @@
 def change_faults(faults: AnyFaults, change: dict[str, Any]) -> AnyFaults:
     """Return `faults` with the given fields changed.
 
-    Raises ValueError, which says what was expected, for an unknown field or a
-    wrong value.
+    Raises ValueError for an unknown field or an invalid value.
     """
     unknown = change.keys() - {field.name for field in fields(faults)}
     if unknown:
@@ -111,32 +110,35 @@
     return replace(faults, **{name: getattr(checked, name) for name in change})
 
 
-def _get_switch(faults: BackendFaults) -> tuple[object, ...]:
+def _get_version_switch(faults: BackendFaults) -> tuple[object, ...]:
     return faults.index_versions, faults.next_index_versions, faults.switch_after_ms
 
 
 class FaultHistory:
-    """The faults in force now and, for endpoints that lag, those of a while ago."""
+    """The current faults and, for endpoints that lag, earlier ones.
+
+    Times are in seconds of trio's clock.
+    """
 
     def __init__(self, *, faults: BackendFaults, now: float):
         self.faults = faults
         self._switch_set_at = now
-        self._entries = deque([(now, now, faults)], maxlen=MAX_HISTORY)
+        self._entries = deque([(now, now, faults)], maxlen=MAX_HISTORY_ENTRIES)
 
     def set_faults(self, faults: BackendFaults, now: float) -> None:
-        """Put `faults` in force from `now` on, in seconds."""
-        if _get_switch(faults) != _get_switch(self.faults):
+        """Put `faults` in force from the time `now`."""
+        if _get_version_switch(faults) != _get_version_switch(self.faults):
             self._switch_set_at = now
         self.faults = faults
         self._entries.append((now, self._switch_set_at, faults))
 
     def get_state(self, at: float) -> str:
-        """Return the server's state at a moment."""
+        """Return the server's state at a time."""
         _, faults = self._find(at)
         return faults.state
 
     def get_index_versions(self, at: float) -> tuple[int, ...]:
-        """Return the index versions that were served at a moment."""
+        """Return the index versions that were served at a time."""
         switch_set_at, faults = self._find(at)
         switch_at = switch_set_at + faults.switch_after_ms / 1_000
         if faults.next_index_versions and at >= switch_at:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers, hosts and first objects that a settings file gives."""
+"""Reads settings files and addresses for the stand-ins."""
 
 from fnmatch import fnmatchcase
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse "127.0.0.1:7000"; raises click.BadParameter for anything else."""
+    """Parse an address such as "127.0.0.1:7000"; raises click.BadParameter."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdecimal():
         raise click.BadParameter(f"{text!r} is not an address such as 127.0.0.1:7000")
@@ -20,7 +20,7 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Read a settings file; raises click.ClickException with what is wrong."""
+    """Read a settings file; raises click.ClickException if it is invalid."""
     try:
         return load_settings(path)
     except SettingsError as error:
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,4 +1,4 @@
-"""HTTP over trio streams by h11, as cheaply as the stand-ins can serve it."""
+"""A small HTTP server over trio streams that parses requests with h11."""
 
 import socket
 import struct
@@ -15,10 +15,10 @@
 MAX_BODY_BYTES = 2_000_000
 MAX_RECEIVE_BYTES = 65_536
 IDLE_TIMEOUT_S = 3_600.0
-IDLE_STEP_S = 60.0
+IDLE_UPDATE_INTERVAL_S = 60.0
 BACKLOG = 512
 ACCEPT_PAUSE_S = 0.05
-BODILESS = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 EMPTY_RESPONSE = h11.Response(status_code=204, headers=[])
 END_OF_MESSAGE = h11.EndOfMessage()
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """One whole request; names of headers are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -37,16 +37,17 @@
     body: bytes
 
     def get_options(self) -> dict[str, str]:
-        """Return the options after the question mark; the last of a name counts."""
+        """Return the query parameters; the last value of a repeated name is used."""
         return dict(parse_qsl(self.query, keep_blank_values=True))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """One reply. The last two fields make faulty ones.
+    """One reply; `n_sent` and `n_copies` make it a faulty one.
 
-    `n_sent` cuts the body after so many bytes and closes the connection, although
-    Content-Length promises all of it. `n_copies` sends the reply more than once.
+    With `n_sent`, only so many bytes of the body are sent and the connection is
+    closed, while Content-Length is that of the whole body. With `n_copies`, the reply
+    is sent several times.
     """
 
     status: int
@@ -59,7 +60,7 @@
 def make_json_reply(
     value: object, *, status: int = 200, headers: Headers = ()
 ) -> Reply:
-    """Encode `value` as the JSON body of a reply."""
+    """Make a reply with `value` as its JSON body."""
     return Reply(
         status=status,
         body=msgspec.json.encode(value),
@@ -77,7 +78,10 @@
 
 
 class Connection:
-    """The server's end of one connection: requests in, replies out, in turn."""
+    """The server's side of one connection, which serves one request at a time.
+
+    While `is_silent` is true, requests are read and dropped and no reply is sent.
+    """
 
     def __init__(
         self, *, stream: trio.SocketStream, max_body_bytes: int = MAX_BODY_BYTES
@@ -89,7 +93,7 @@
         self.is_silent = False
 
     async def receive_request(self) -> Request | None:
-        """Return the next request, or None when the peer has closed.
+        """Return the next request, or None if the client has closed the connection.
 
         Raises h11.RemoteProtocolError for malformed input and RequestTooLargeError.
         """
@@ -117,17 +121,17 @@
                 return None
 
     async def _send_continue(self) -> None:
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        await self._stream.send_all(self._http.send(go_on))
+        interim = h11.InformationalResponse(status_code=100, headers=[])
+        await self._stream.send_all(self._http.send(interim))
 
     async def send_reply(self, reply: Reply) -> bool:
-        """Send `reply`; return whether the connection can serve another request."""
+        """Send `reply` and return whether the connection can serve another request."""
         is_kept = self._end_cycle()
         length = len(reply.body)
         lines = [f"HTTP/1.1 {reply.status} {_get_phrase(reply.status)}"]
         lines += [f"{name}: {value}" for name, value in reply.headers]
-        # 204 and 304 have no body by their nature, and no length.
-        if reply.status not in BODILESS:
+        # Replies with these statuses carry neither a body nor Content-Length.
+        if reply.status not in STATUSES_WITHOUT_BODY:
             lines.append(f"Content-Length: {length}")
         if not is_kept:
             lines.append("Connection: close")
@@ -139,11 +143,10 @@
         return is_kept
 
     def _end_cycle(self) -> bool:
-        """Bring h11 to the next request; return whether there may be one.
+        """Prepare h11 for the next request; return whether there can be one.
 
-        h11 parses and checks what comes in. What goes out is the stand-in's own,
-        and h11's checks of it took half of a call's processor time, so that it is
-        shown an empty reply in place of the real one.
+        h11 only parses requests. Replies are serialised here, since h11 takes much
+        processor time for that; it is given an empty reply to advance its state.
         """
         self._http.send(EMPTY_RESPONSE)
         self._http.send(END_OF_MESSAGE)
@@ -155,11 +158,11 @@
         return True
 
     async def wait_for_close(self) -> None:
-        """Return when the peer closes the connection; a caller cancels the wait.
+        """Return when the client closes the connection; cancel it to stop waiting.
 
-        The wait for a slot or for a service time is spent here, so that one task
-        both keeps the time and sees the peer go. Bytes of a next request are kept;
-        after the first of them the peer's close is no longer seen.
+        Handlers wait here for a slot or for the end of a service time, so that one
+        task notices both the timeout and the close. Bytes of a next request are kept;
+        once some have arrived, the close is no longer noticed.
         """
         if not self._has_early_bytes:
             try:
@@ -173,12 +176,12 @@
         await trio.sleep_forever()
 
     async def ignore_until_closed(self) -> None:
-        """Read and drop all input, answering nothing, until the peer closes."""
+        """Read and drop all input without a reply until the client closes."""
         while await self._stream.receive_some(MAX_RECEIVE_BYTES):
             pass
 
     def reset(self) -> None:
-        """Make the coming close a reset, as when a process or its host dies."""
+        """Make the next close send a reset, as when the server's host crashes."""
         linger = (socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._stream.socket.setsockopt(*linger)
 
@@ -203,9 +206,9 @@
 
 
 async def serve_connection(connection: Connection, handle: Handler) -> None:
-    """Answer request after request; a handler's None closes the connection.
+    """Serve requests until the connection ends.
 
-    So does an hour without a request.
+    It is closed when `handle` returns None and after an hour without a request.
     """
     with trio.CancelScope() as scope:
         await _serve_requests(connection, handle, scope)
@@ -214,13 +217,14 @@
 async def _serve_requests(
     connection: Connection, handle: Handler, scope: trio.CancelScope
 ) -> None:
-    moved_at = float("-inf")
+    deadline_set_at = float("-inf")
     try:
         while True:
-            # Moved now and then only: for each request it would cost time.
+            # Setting the deadline for each request would be costly, so it is only
+            # updated once per interval.
             now = trio.current_time()
-            if now - moved_at > IDLE_STEP_S:
-                moved_at = now
+            if now - deadline_set_at > IDLE_UPDATE_INTERVAL_S:
+                deadline_set_at = now
                 scope.deadline = now + IDLE_TIMEOUT_S
             request = await connection.receive_request()
             if connection.is_silent:
@@ -233,14 +237,16 @@
             if reply is None or not await connection.send_reply(reply):
                 return None
     except h11.RemoteProtocolError as error:
-        await _send_last(connection, make_error(error.error_status_hint, str(error)))
+        await _send_final_reply(
+            connection, make_error(error.error_status_hint, str(error))
+        )
     except RequestTooLargeError:
-        await _send_last(connection, make_error(413, "The body is too large."))
+        await _send_final_reply(connection, make_error(413, "The body is too large."))
     except trio.BrokenResourceError:
         pass
 
 
-async def _send_last(connection: Connection, reply: Reply) -> None:
+async def _send_final_reply(connection: Connection, reply: Reply) -> None:
     try:
         await connection.send_reply(reply)
     except (trio.BrokenResourceError, h11.LocalProtocolError):
@@ -249,7 +255,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class HttpServer:
-    """A listener that serves `handle` to at most `max_connections` at once."""
+    """A server that handles requests with `handle`.
+
+    Connections beyond `max_connections` are closed at once.
+    """
 
     ip: str
     port: int
@@ -262,7 +271,7 @@
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; the task's status is the port that listens."""
+        """Serve until cancelled; the task's status is the port."""
         self._listener = listener = await open_listener(self.ip, self.port)
         async with listener, trio.open_nursery() as nursery:
             task_status.started(listener.socket.getsockname()[1])
@@ -270,7 +279,7 @@
                 try:
                     stream = await accept(listener)
                 except trio.ClosedResourceError:
-                    return  # Its port was closed.
+                    return  # By close_port.
                 if self.n_connections >= self.max_connections:
                     await trio.aclose_forcefully(stream)
                     continue
@@ -278,7 +287,7 @@
                 nursery.start_soon(self._serve, stream)
 
     def close_port(self) -> None:
-        """Take no new connection from now on, as a process whose end has begun."""
+        """Stop accepting connections, as a server process does when it exits."""
         if self._listener is not None:
             self._listener.socket.close()
 
@@ -292,13 +301,13 @@
 
 
 async def open_listener(ip: str, port: int) -> trio.SocketListener:
-    """Listen on one address by IP number."""
+    """Listen on an IP address and port."""
     (listener,) = await trio.open_tcp_listeners(port, host=ip, backlog=BACKLOG)
     return listener
 
 
 async def accept(listener: trio.SocketListener) -> trio.SocketStream:
-    """Accept the next connection, pausing while the process has no descriptors."""
+    """Accept the next connection; waits while no file descriptor is available."""
     while True:
         try:
             return await listener.accept()
--- a/standins/load.py
+++ b/standins/load.py
@@ -13,7 +13,7 @@
 
 from .answers import (
     Outcome,
-    Sent,
+    SentRequest,
     ShardShares,
     Verdict,
     check_booking,
@@ -100,7 +100,7 @@
 class _Request:
     """A request on its way; a booking's ticket is kept for its retries."""
 
-    sent: Sent
+    sent: SentRequest
     body: bytes
     ticket: str = ""
 
@@ -262,7 +262,9 @@
     body = msgspec.json.encode({"query": query})
     # Spaces after the value leave it the same JSON.
     body = body.ljust(plan.body_bytes)
-    sent = Sent(request_id=query, service=plan.service, query=query, length=len(body))
+    sent = SentRequest(
+        request_id=query, service=plan.service, query=query, length=len(body)
+    )
     return _Request(sent=sent, body=body)
 
 
--- a/tests/test_standins_load.py
+++ b/tests/test_standins_load.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from lavendergap.state.settings import Address
-from standins.answers import Outcome, Sent, check_booking, check_query
+from standins.answers import Outcome, SentRequest, check_booking, check_query
 from standins.balancer import EntryPorts
 from standins.client import Answer
 from standins.http import Connection, HttpServer, Reply, Request, make_json_reply
@@ -26,7 +26,7 @@
 )
 from standins.tally import Record, Summary
 
-SENT = Sent(request_id="q1-0", service="scheduler", query="q1-0", length=16)
+SENT = SentRequest(request_id="q1-0", service="scheduler", query="q1-0", length=16)
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
     return MockClock(autojump_threshold=0.005)
 
 
-def make_result(sent: Sent, shard: str, version: int = 7) -> dict[str, Any]:
+def make_result(sent: SentRequest, shard: str, version: int = 7) -> dict[str, Any]:
     return {
         "shard": shard,
         "version": version,
@@ -45,7 +45,9 @@
     }
 
 
-def make_answer(sent: Sent, n_shards: int = 4, n_missing: int = 1) -> dict[str, Any]:
+def make_answer(
+    sent: SentRequest, n_shards: int = 4, n_missing: int = 1
+) -> dict[str, Any]:
     shards = [f"s{i:02}" for i in range(n_shards)]
     answered, missing = shards[n_missing:], shards[:n_missing]
     blame = {"reason": "straggler", "step": "receive", "peer": "scheduler-00-a"}
@@ -63,7 +65,7 @@
     }
 
 
-def make_refusal(sent: Sent, outcome: str = "not run") -> dict[str, Any]:
+def make_refusal(sent: SentRequest, outcome: str = "not run") -> dict[str, Any]:
     return {
         "request_id": sent.request_id,
         "outcome": outcome,
@@ -188,7 +190,7 @@
         _, _, service, call = request.path.strip("/").split("/")
         name = request.headers["request-id"]
         query = json.loads(request.body)["query"]
-        sent = Sent(
+        sent = SentRequest(
             request_id=name, service=service, query=query, length=len(request.body)
         )
         if self.refuses:
