--- a/standins/leafs.py
+++ b/standins/leafs.py
@@ -1,4 +1,4 @@
-"""Stand-ins for backend servers of the users' platform, and their registration."""
+"""Stand-ins for the users' platform's backend servers, which register in its store."""
 
 import itertools
 import secrets
@@ -16,13 +16,18 @@
 
 
 def make_server_id() -> str:
-    """Return an id for one incarnation of a server."""
+    """Return a random id for one incarnation of a server."""
     return f"i-{secrets.token_hex(5)}"
 
 
 @dataclass(kw_only=True, slots=True)
 class LeafFaults:
-    """How one server fails: seconds of work, refusals, lost and doubled answers."""
+    """The faults of one server.
+
+    `work` is the service time in seconds. A server that `refuses` runs no request,
+    one that `fails` answers 500, and one that `loses` resets the connection instead
+    of answering. Each answer is sent `n_copies` times.
+    """
 
     work: float = 0.005
     refuses: bool = False
@@ -33,14 +38,15 @@
 
 @dataclass(kw_only=True)
 class Leaf:
-    """One incarnation of a server: refuses what is meant for another one.
+    """A server that refuses requests meant for another incarnation of it.
 
-    `runs` counts how often each request began, `arrivals` each that came, and
-    `n_abandoned` those whose connection closed while they ran.
+    `arrivals` counts how often each attempt was received, `runs` how often each was
+    started, and `n_abandoned` the requests whose connection closed while they ran.
+    `late_arrivals` counts the requests received after the time `drained_at`.
 
-    A request for the path `ends_on` ends the server `ends_after` seconds after it began
-    to run it; it is back under another id after `away` seconds. `ended_by` holds these
-    requests, and `past_ids` the ids that it had before.
+    A request for the path `ends_on` crashes the server `ends_after` seconds after it
+    was started; the server restarts with another id after `away` seconds. `ended_by`
+    lists the attempts that crashed it, and `past_ids` its previous ids.
     """
 
     service: str
@@ -68,7 +74,7 @@
         store: ObjectStore,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until cancelled, registered in the store, and again after each end."""
+        """Register in `store` and serve until cancelled, restarting after crashes."""
         is_first = True
         while True:
             self.life = trio.CancelScope()
@@ -87,7 +93,7 @@
             self.server_id = make_server_id()
 
     def register(self, store: ObjectStore, state: str) -> None:
-        """Write the entry that callers find the server by."""
+        """Write the server's entry to the store with `state`."""
         entry = {
             "service": self.service,
             "address": self.address,
@@ -101,7 +107,7 @@
         store.put(SERVERS, self.server_id, entry)
 
     async def handle(self, request: Request, connection: Connection) -> Reply | None:
-        """Answer one request as the faults say."""
+        """Answer one request, with the faults in force."""
         attempt = request.headers.get("lavendergap-attempt-id", "")
         self.arrivals[attempt] += 1
         if self.drained_at is not None and trio.current_time() > self.drained_at:
@@ -151,10 +157,10 @@
 
 
 def make_part(service: str, attempt: str, body: bytes) -> bytes:
-    """Return the records that every server of `service` has for a request."""
+    """Return the answer to a request, the same from every server of `service`."""
     head = f"{service}:{attempt}".encode()
     records = (
-        bytes([place * 4 % 251]) + head[-(RECORD_BYTES - 2) :].rjust(15, b"-")
-        for place in itertools.islice(itertools.count(1), N_RECORDS)
+        bytes([index * 4 % 251]) + head[-(RECORD_BYTES - 2) :].rjust(15, b"-")
+        for index in itertools.islice(itertools.count(1), N_RECORDS)
     )
     return b"".join(records) + body
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""A bounded load of callers, which checks each answer and sums up what came."""
+"""A load generator with bounded load that checks each answer and prints a summary."""
 
 import random
 from collections.abc import Callable
@@ -29,24 +29,25 @@
 DEFAULT_DEADLINE_MS = 280
 DEFAULT_GRACE_MS = 1_000
 RETRY_PAUSE_S = 0.1
-MAX_PAUSE_S = 5.0
-WITHOUT_OUTCOME = frozenset(
+MAX_RETRY_PAUSE_S = 5.0
+# Outcomes that leave open whether a booking ran; it is retried with its ticket.
+RETRIED_OUTCOMES = frozenset(
     {Outcome.CUT, Outcome.LOST, Outcome.REFUSED, Outcome.UNKNOWN}
 )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenLoop:
-    """Poisson arrivals at `rate` a second, whatever becomes of them."""
+    """Poisson arrivals at `rate` per second, independent of the answers."""
 
     rate: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClosedLoop:
-    """Callers of whom each sends its next request after the answer to its last.
+    """Callers that each send their next request after the answer to their last.
 
-    A refused caller waits as long as it was told to.
+    After a refusal, a caller waits for the time in its `retry_after_ms`.
     """
 
     n_callers: int
@@ -54,10 +55,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Queries:
-    """Queries of an idempotent service.
+    """Queries to an idempotent service.
 
-    `shares` gives the shards' shares by index version; without it they are taken
-    to be equal.
+    `shares` holds the shards' shares by index version; without it, all shards are
+    assumed to be of equal size.
     """
 
     shares: ShardShares | None = None
@@ -65,9 +66,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Bookings:
-    """Requests against a ticket, each run at most once.
+    """Requests with a ticket, each run at most once.
 
-    A caller that got no outcome asks again with its ticket, `n_retries` times.
+    A caller without an outcome retries with its ticket, up to `n_retries` times.
     """
 
     n_retries: int = 0
@@ -75,12 +76,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Plan:
-    """A load: to whom, how much, how fast, and until when.
+    """The targets, size, rate and limits of a load.
 
-    It ends after `n_requests` or `duration_s` of sending, whichever comes first,
-    once each request has its outcome. A request of an open loop beyond
-    `max_in_flight` is skipped and counted as such. Without `deadline_ms` the
-    header is not sent and 280 ms are assumed.
+    Sending stops after `n_requests` or `duration_s`, whichever comes first, and the
+    load ends once each request has its outcome. In an open loop, a request that
+    would exceed `max_in_flight` is skipped and counted. Without `deadline_ms`, no
+    deadline header is sent and a deadline of 280 ms is assumed.
     """
 
     entries: tuple[EntryPorts, ...]
@@ -98,7 +99,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Request:
-    """A request on its way; a booking's ticket is kept for its retries."""
+    """A request in flight; `ticket` is kept for a booking's retries."""
 
     sent: SentRequest
     body: bytes
@@ -109,7 +110,7 @@
 
 
 async def run_load(plan: Plan, observe: Observer | None = None) -> Summary:
-    """Send a load and return its summary; `observe` is shown each record.
+    """Send a load and return its summary; `observe` is called with each record.
 
     summary = await run_load(plan)
     assert summary.wrong == 0
@@ -132,20 +133,22 @@
         self._start = trio.current_time()
         self._n_in_flight = 0
 
-    def _get_time(self) -> float:
+    def _get_elapsed_s(self) -> float:
         return trio.current_time() - self._start
 
     async def run(self) -> Summary:
-        """Send everything, wait for all outcomes, sum up."""
+        """Send the load, wait for all outcomes and return the summary."""
         async with trio.open_nursery() as nursery:
             match self._plan.arrivals:
                 case OpenLoop(rate=rate):
                     await self._send_open(rate, nursery)
                 case ClosedLoop(n_callers=n_callers):
                     await self._run_callers(n_callers)
-            sending_s = self._get_time()
+            sending_s = self._get_elapsed_s()
         self._tally.n_retries += self._balancer.n_retries
-        return self._tally.sum_up(sending_s=sending_s, duration_s=self._get_time())
+        return self._tally.summarise(
+            sending_s=sending_s, duration_s=self._get_elapsed_s()
+        )
 
     async def _run_callers(self, n_callers: int) -> None:
         async with trio.open_nursery() as nursery:
@@ -153,10 +156,10 @@
                 nursery.start_soon(self._send_closed)
 
     async def _send_open(self, rate: float, nursery: trio.Nursery) -> None:
-        chance = random.Random(self._plan.seed)
+        rng = random.Random(self._plan.seed)
         due_s = 0.0
         for number in range(self._plan.n_requests):
-            due_s += chance.expovariate(rate)
+            due_s += rng.expovariate(rate)
             if due_s > self._plan.duration_s:
                 await trio.sleep_until(self._start + self._plan.duration_s)
                 return
@@ -170,12 +173,12 @@
     async def _send_closed(self) -> None:
         plan = self._plan
         while self._tally.n_sent < plan.n_requests:
-            if self._get_time() >= plan.duration_s:
+            if self._get_elapsed_s() >= plan.duration_s:
                 return
             number = self._tally.n_sent
             self._tally.n_sent += 1
-            verdict = await self._send_one(number, self._get_time())
-            pause_s = min(MAX_PAUSE_S, verdict.retry_after_ms / 1e3)
+            verdict = await self._send_one(number, self._get_elapsed_s())
+            pause_s = min(MAX_RETRY_PAUSE_S, verdict.retry_after_ms / 1e3)
             if verdict.outcome is Outcome.REFUSED:
                 pause_s = RETRY_PAUSE_S
             await trio.sleep(pause_s)
@@ -198,7 +201,7 @@
             reason=verdict.reason,
             share=verdict.share,
             due_s=due_s,
-            ended_s=self._get_time(),
+            ended_s=self._get_elapsed_s(),
         )
         self._tally.add(record)
         if self._observe is not None:
@@ -214,7 +217,7 @@
     async def _book(self, request: _Request, n_retries: int) -> Verdict:
         verdict = await self._try_booking(request)
         for _ in range(n_retries):
-            if verdict.outcome not in WITHOUT_OUTCOME:
+            if verdict.outcome not in RETRIED_OUTCOMES:
                 break
             self._tally.n_retries += 1
             await trio.sleep(RETRY_PAUSE_S)
@@ -260,7 +263,7 @@
 def _make_request(plan: Plan, number: int) -> _Request:
     query = f"q{plan.seed}-{number}"
     body = msgspec.json.encode({"query": query})
-    # Spaces after the value leave it the same JSON.
+    # Trailing spaces do not change the JSON value.
     body = body.ljust(plan.body_bytes)
     sent = SentRequest(
         request_id=query, service=plan.service, query=query, length=len(body)
@@ -284,7 +287,9 @@
     """Return the shards' shares by version from the value of `index/SERVICE`."""
     tree = msgspec.json.decode(index)
     return {
-        snapshot["version"]: {one["name"]: one["share"] for one in snapshot["shards"]}
+        snapshot["version"]: {
+            shard["name"]: shard["share"] for shard in snapshot["shards"]
+        }
         for snapshot in tree["snapshots"]
     }
 
@@ -294,10 +299,10 @@
     "--settings",
     type=click.Path(exists=True, path_type=Path),
     required=True,
-    help="The settings file; its hosts are the balancer's.",
+    help="The settings file, which lists the entry hosts.",
 )
 @click.option("--service", "name", required=True, help="The service to call.")
-@click.option("--rate", type=click.FloatRange(0.001), help="Arrivals a second.")
+@click.option("--rate", type=click.FloatRange(0.001), help="Arrivals per second.")
 @click.option("--callers", type=click.IntRange(1, 5_000), help="Closed-loop callers.")
 @click.option("--count", type=click.IntRange(1), default=1_000, show_default=True)
 @click.option("--duration", type=click.FloatRange(0), default=10.0, show_default=True)
@@ -305,7 +310,9 @@
 @click.option("--body-bytes", type=click.IntRange(0, 1_000_000), default=0)
 @click.option("--retries", type=click.IntRange(0, 20), default=0, show_default=True)
 @click.option("--index", type=click.Path(exists=True, path_type=Path))
-@click.option("--records", type=click.Path(path_type=Path), help="JSON lines go here.")
+@click.option(
+    "--records", type=click.Path(path_type=Path), help="Output file, in JSON lines."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 def main(
     settings: Path,
@@ -324,19 +331,20 @@
     """Send a bounded load to all entry hosts of a settings file; print a summary.
 
     Give --rate for an open loop or --callers for a closed one. Without --index,
-    the shards of a service are taken to be of equal size; --retries is for
-    bookings, whose callers ask again with their ticket.
+    all shards of a service are assumed to be of equal size. --retries applies to
+    bookings, whose callers retry with their ticket.
     """
     if (rate is None) == (callers is None):
         raise click.UsageError("give either --rate or --callers")
-    read = read_settings(settings)
-    service = read.get_service(name)
+    deployment = read_settings(settings)
+    service = deployment.get_service(name)
     if service is None:
         raise click.UsageError(f"there is no service {name!r} in {settings}")
     shares = read_shares(index.read_bytes()) if index else None
     plan = Plan(
         entries=tuple(
-            EntryPorts(callers=host.callers, admin=host.admin) for host in read.hosts
+            EntryPorts(callers=host.callers, admin=host.admin)
+            for host in deployment.hosts
         ),
         service=name,
         arrivals=OpenLoop(rate=rate) if rate else ClosedLoop(n_callers=callers or 1),
--- a/standins/objectstore.py
+++ b/standins/objectstore.py
@@ -1,4 +1,4 @@
-"""A stand-in for the store of the users' platform: objects, lists, watches, faults."""
+"""A stand-in for the users' platform's object store, with watches and faults."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 OBJECTS = "/objects/"
 PAGE_ITEMS = 50
-MAX_HISTORY = 10_000
+MAX_EVENTS = 10_000
 MAX_WAIT_MS = 30_000
 
 Mode = Literal["up", "busy", "silent", "lost"]
@@ -28,7 +28,7 @@
     spec: Any
 
     def show(self) -> dict[str, Any]:
-        """Return the object as it goes over the wire."""
+        """Return the object as the HTTP API encodes it."""
         meta = {
             "name": self.name,
             "revision": self.revision,
@@ -40,11 +40,11 @@
 
 
 class ObjectStore:
-    """Objects by kind and name under one revision counter.
+    """Objects by kind and name, with one revision counter for all.
 
-    `mode` makes it fail: `busy` answers 503 and does nothing, `silent` never
-    answers, `lost` does what writes say and then never answers them. `refused` holds
-    the caller's addresses that get 503 while the others are served.
+    `mode` is the fault in force: with `busy`, each call is answered with 503 and has
+    no effect; with `silent`, no call is answered or has an effect; with `lost`, writes
+    take effect but are not answered.
     """
 
     def __init__(self) -> None:
@@ -52,56 +52,56 @@
         self.n_calls = 0
         self.revision = 1
         self._kinds: dict[str, dict[str, StoredObject]] = {}
-        self._events: deque[tuple[int, str, dict[str, Any]]] = deque(maxlen=MAX_HISTORY)
-        self._forgotten = 0
+        self._events: deque[tuple[int, str, dict[str, Any]]] = deque(maxlen=MAX_EVENTS)
+        self._history_start = 0
         self._changed = trio.Event()
 
-    # What tests and demos do directly.
+    # The Python API, for tests and demos.
 
     def put(self, kind: str, name: str, spec: Any) -> int:
         """Create or replace an object; return its revision."""
-        held = self._kinds.setdefault(kind, {}).get(name)
-        if held is not None and held.spec == spec:
-            return held.revision
+        current = self._kinds.setdefault(kind, {}).get(name)
+        if current is not None and current.spec == spec:
+            return current.revision
         self.revision += 1
-        created = held.created if held else self.revision
+        created = current.created if current else self.revision
         stored = StoredObject(
             name=name, revision=self.revision, created=created, spec=spec
         )
         self._kinds[kind][name] = stored
-        self._tell(kind, {"object": stored.show(), "deleted": False})
+        self._record_event(kind, {"object": stored.show(), "deleted": False})
         return self.revision
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object; watches are told."""
+        """Remove an object and notify watches."""
         stored = self._kinds.get(kind, {}).pop(name, None)
         if stored is not None:
             self.revision += 1
             stored.revision = self.revision
-            self._tell(kind, {"object": stored.show(), "deleted": True})
+            self._record_event(kind, {"object": stored.show(), "deleted": True})
 
     def forget_history(self) -> None:
-        """Have every watch from an older revision fail."""
+        """Drop all events, so that each watch from an older revision gets 410."""
         self._events.clear()
-        self._forgotten = self.revision
-        self._wake()
+        self._history_start = self.revision
+        self._wake_watches()
 
     def list_names(self, kind: str) -> list[str]:
-        """Return the names of a kind's objects, in their order."""
+        """Return the names of a kind's objects, sorted."""
         return sorted(self._kinds.get(kind, {}))
 
-    def _tell(self, kind: str, event: dict[str, Any]) -> None:
+    def _record_event(self, kind: str, event: dict[str, Any]) -> None:
         self._events.append((self.revision, kind, event))
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
-    # What the wire says.
+    # The HTTP API.
 
     def make_server(self, *, ip: str, port: int) -> HttpServer:
-        """Return the server that is still to be run."""
+        """Return an HTTP server for this store, not yet running."""
         return HttpServer(ip=ip, port=port, handle=self.handle)
 
     async def handle(self, request: Request, connection: Connection) -> Reply | None:
@@ -124,10 +124,10 @@
         options = request.get_options()
         match request.method:
             case "GET" if name:
-                held = self._kinds.get(kind, {}).get(name)
-                if held is None:
+                current = self._kinds.get(kind, {}).get(name)
+                if current is None:
                     return make_json_reply({"error": "no such object"}, status=404)
-                return make_json_reply(held.show())
+                return make_json_reply(current.show())
             case "GET" if "watch" in options:
                 return await self._watch(
                     kind, int(options["watch"]), int(options.get("wait_ms", 0))
@@ -154,9 +154,9 @@
 
     async def _watch(self, kind: str, after: int, wait_ms: int) -> Reply:
         with trio.move_on_after(min(wait_ms, MAX_WAIT_MS) / 1_000):
-            while after >= self._forgotten and not self._find_events(kind, after):
+            while after >= self._history_start and not self._find_events(kind, after):
                 await self._changed.wait()
-        if after < self._forgotten:
+        if after < self._history_start:
             return make_json_reply({"error": "history is gone"}, status=410)
         return make_json_reply(
             {
@@ -166,19 +166,23 @@
         )
 
     def _find_events(self, kind: str, after: int) -> list[dict[str, Any]]:
-        return [event for at, k, event in self._events if k == kind and at > after]
+        return [
+            event
+            for revision, event_kind, event in self._events
+            if event_kind == kind and revision > after
+        ]
 
     def _write(self, request: Request, kind: str, name: str) -> Reply:
         body = msgspec.json.decode(request.body)
         meta = body.get("meta", {})
         name = name or meta["name"]
-        held = self._kinds.get(kind, {}).get(name)
-        if request.method == "POST" and held is not None:
-            return make_json_reply(held.show(), status=409)
-        if request.method == "PUT" and held is None:
+        current = self._kinds.get(kind, {}).get(name)
+        if request.method == "POST" and current is not None:
+            return make_json_reply(current.show(), status=409)
+        if request.method == "PUT" and current is None:
             return make_json_reply({"error": "no such object"}, status=404)
-        wanted = meta.get("revision")
-        if held is not None and wanted not in (None, held.revision):
-            return make_json_reply(held.show(), status=409)
+        expected_revision = meta.get("revision")
+        if current is not None and expected_revision not in (None, current.revision):
+            return make_json_reply(current.show(), status=409)
         self.put(kind, name, body.get("spec"))
         return make_json_reply(self._kinds[kind][name].show())
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: its object API, its list of hosts, its outages."""
+"""A stand-in for the platform's object API and list of hosts, with faults."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -24,7 +24,7 @@
     make_json_reply,
 )
 from .process import run_process
-from .store import ALWAYS, Entry, Store, StoreFullError
+from .store import BEFORE_START, Entry, Store, StoreFullError
 
 MAX_VALUE_BYTES = 1_048_576
 MAX_KEY_CHARACTERS = 512
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedHost:
-    """An entry host in the platform's list; a host that is gone is not shown."""
+    """An entry host in the platform's list; hosts in state `gone` are not returned."""
 
     name: str
     peers: str
@@ -48,29 +48,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostChange:
-    """What `POST /hosts` on the control port changes about one host."""
+    """The change of one host by `POST /hosts` on the control port."""
 
     state: HostState = "live"
     peers: str | None = None
 
 
 class BadRequestError(Exception):
-    """The request cannot be understood; the reason goes into the reply."""
+    """The request is malformed; the message is sent in the reply."""
 
 
-class Bucket:
-    """A token bucket: `rate` calls a second, bursts of one second's worth."""
+class TokenBucket:
+    """A token bucket that holds up to one second's worth of tokens."""
 
     def __init__(self, *, now: float):
         self._tokens: float | None = None
         self._filled_at = now
 
     def take(self, rate: float, now: float) -> bool:
-        """Take a token at `now`; return whether there was one."""
+        """Take a token, refilled at `rate` per second; return whether there was one."""
         if self._tokens is None:
             self._tokens = rate
-        grown = self._tokens + (now - self._filled_at) * rate
-        self._tokens = min(rate, grown)
+        refilled = self._tokens + (now - self._filled_at) * rate
+        self._tokens = min(rate, refilled)
         self._filled_at = now
         if self._tokens < 1.0:
             return False
@@ -79,35 +79,35 @@
 
 
 class HostList:
-    """The platform's list of hosts, shown as it was a while ago."""
+    """The platform's list of hosts, with its history for lagging reads."""
 
     def __init__(self) -> None:
-        self._past: deque[tuple[float, dict[str, ListedHost]]] = deque(
-            [(ALWAYS, {})], maxlen=MAX_HOST_CHANGES
+        self._history: deque[tuple[float, dict[str, ListedHost]]] = deque(
+            [(BEFORE_START, {})], maxlen=MAX_HOST_CHANGES
         )
 
     def change(self, changes: dict[str, HostChange], now: float) -> None:
-        """Change or add hosts. Raises BadRequestError for a new one without peers."""
-        hosts = dict(self._past[-1][1])
+        """Change or add hosts; raises BadRequestError if a new one has no peers."""
+        hosts = dict(self._history[-1][1])
         for name, change in changes.items():
-            known = hosts.get(name)
-            peers = change.peers or (known.peers if known else None)
+            existing = hosts.get(name)
+            peers = change.peers or (existing.peers if existing else None)
             if peers is None:
                 raise BadRequestError(f"{name} is new; its peers address is needed")
             hosts[name] = ListedHost(name=name, peers=peers, state=change.state)
         if len(hosts) > MAX_HOSTS:
             raise BadRequestError(f"there are over {MAX_HOSTS} hosts")
-        self._past.append((now, hosts))
+        self._history.append((now, hosts))
 
     def get_hosts(self, at: float) -> list[ListedHost]:
-        """Return the hosts that the list showed at a moment."""
-        seen = [hosts for since, hosts in self._past if since <= at]
-        hosts = seen[-1] if seen else self._past[0][1]
+        """Return the listed hosts as of a time."""
+        earlier = [hosts for since, hosts in self._history if since <= at]
+        hosts = earlier[-1] if earlier else self._history[0][1]
         return [host for host in hosts.values() if host.state != "gone"]
 
 
 class Platform:
-    """The object API and its control port over one store."""
+    """The object API and the control port of one store."""
 
     def __init__(self, *, faults: PlatformFaults):
         now = trio.current_time()
@@ -115,23 +115,27 @@
         self.store = Store()
         self.hosts = HostList()
         self.counts: Counter[str] = Counter()
-        self._reads = Bucket(now=now)
-        self._writes = Bucket(now=now)
+        self._reads = TokenBucket(now=now)
+        self._writes = TokenBucket(now=now)
 
     def seed(self, settings: Settings, text: str) -> None:
-        """Write the objects and hosts that a deployment starts with, as of old."""
+        """Write a deployment's initial objects and hosts, dated before the start.
+
+        Reads of the past see them, however stale.
+        """
         value = msgspec.json.encode({"text": text, "edits": []})
-        self.store.put(f"settings/{settings.deployment}", value, ALWAYS)
+        self.store.put(f"settings/{settings.deployment}", value, BEFORE_START)
         for service in settings.services:
             if service.idempotent:
                 index = make_index_object(service)
-                self.store.put(f"index/{service.name}", index, ALWAYS)
+                self.store.put(f"index/{service.name}", index, BEFORE_START)
         self.hosts.change(
-            {h.name: HostChange(peers=str(h.peers)) for h in settings.hosts}, ALWAYS
+            {h.name: HostChange(peers=str(h.peers)) for h in settings.hosts},
+            BEFORE_START,
         )
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Put `faults` in force, for the calls that wait now as well."""
+        """Put `faults` in force, also for waiting watches."""
         self.faults = faults
         self.store.wake_watches()
 
@@ -177,9 +181,9 @@
         return make_error(404, "There is no such path.")
 
     def _refuse(self, kind: str, connection: Connection) -> Reply | None:
-        broken = self._break(connection)
-        if broken is not None:
-            return broken
+        outage = self._apply_outage(connection)
+        if outage is not None:
+            return outage
         now = trio.current_time()
         if kind == "put":
             is_allowed = self._writes.take(self.faults.writes_per_s, now)
@@ -189,7 +193,8 @@
             return None
         return make_error(429, "The rate is used up.", headers=(RETRY_AFTER,))
 
-    def _break(self, connection: Connection) -> Reply | None:
+    def _apply_outage(self, connection: Connection) -> Reply | None:
+        """Return the reply if the platform is silent or down, otherwise None."""
         if self.faults.silent:
             connection.is_silent = True
             return make_error(503, "Never sent: the connection is silent.")
@@ -197,12 +202,12 @@
             return make_error(503, "The platform is down.", headers=(RETRY_AFTER,))
         return None
 
-    def _get_read_moment(self) -> float:
+    def _get_read_time(self) -> float:
         return trio.current_time() - self.faults.stale_reads_ms / 1_000
 
     def _get(self, request: Request) -> Reply:
-        entry = self.store.get(_get_key(request), self._get_read_moment())
-        return _show(entry)
+        entry = self.store.get(_get_key(request), self._get_read_time())
+        return _make_object_reply(entry)
 
     def _put(self, request: Request) -> Reply | None:
         key = _get_key(request)
@@ -231,10 +236,10 @@
 
     def _list(self, request: Request) -> Reply:
         prefix = request.get_options()["prefix"]
-        at = self._get_read_moment()
-        return self._show_list(self.store.list_objects(prefix, at), at)
+        at = self._get_read_time()
+        return self._make_list_reply(self.store.list_objects(prefix, at), at)
 
-    def _show_list(self, entries: list[Entry], at: float) -> Reply:
+    def _make_list_reply(self, entries: list[Entry], at: float) -> Reply:
         shown = [{"key": e.key, "version": e.version} for e in entries]
         revision = self.store.get_revision(at)
         return make_json_reply({"revision": revision, "objects": shown})
@@ -254,7 +259,7 @@
             entry = self.store.get(key, at)
             if entry is None or entry.version <= after:
                 return None
-            return _show(entry)
+            return _make_object_reply(entry)
 
         return await self._wait(key, options, connection, find)
 
@@ -268,7 +273,7 @@
         def find(at: float) -> Reply | None:
             entries = self.store.list_objects(prefix, at)
             changed = [entry for entry in entries if entry.version > after]
-            return self._show_list(changed, at) if changed else None
+            return self._make_list_reply(changed, at) if changed else None
 
         return await self._wait(prefix, options, connection, find)
 
@@ -282,25 +287,27 @@
         wait_ms = _parse_version(options.get("wait_ms", "0"), "wait_ms")
         deadline = trio.current_time() + min(wait_ms, MAX_WAIT_MS) / 1_000
         while True:
-            broken = self._break(connection)
-            if broken is not None:
-                return broken
-            lag = self.faults.stale_watches_ms / 1_000
+            outage = self._apply_outage(connection)
+            if outage is not None:
+                return outage
+            lag_s = self.faults.stale_watches_ms / 1_000
             now = trio.current_time()
-            reply = find(now - lag)
+            reply = find(now - lag_s)
             if reply is not None:
                 return reply
             if now >= deadline:
                 return Reply(status=304)
-            seen = self.store.find_next_write(prefix, now - lag)
-            wake_at = deadline if seen is None else min(deadline, seen + lag)
+            written_at = self.store.find_next_write(prefix, now - lag_s)
+            wake_at = (
+                deadline if written_at is None else min(deadline, written_at + lag_s)
+            )
             if await self._wait_for_write(prefix, wake_at, connection):
                 return None
 
     async def _wait_for_write(
         self, prefix: str, wake_at: float, connection: Connection
     ) -> bool:
-        """Wait for a write or a moment; return whether the client has left."""
+        """Wait for a write or until `wake_at`; return whether the client has left."""
         scope = trio.CancelScope(deadline=wake_at)
         self.store.add_watch(prefix, scope)
         self.counts["max watches"] = max(
@@ -344,7 +351,7 @@
 
 
 def _get_kind(request: Request) -> str:
-    """Return the kind of a call, as the counts name it; "other" when there is none."""
+    """Return the kind of a call, as in the counts; "other" if it is unknown."""
     is_object = request.path.startswith(f"{OBJECTS}/")
     options = request.get_options() if request.query else {}
     match request.method:
@@ -373,7 +380,7 @@
 
 
 def _check_condition(request: Request, current: Entry | None) -> Reply | None:
-    """Return the refusal of a write whose condition does not hold, or None."""
+    """Return the error reply if a write's condition does not hold, otherwise None."""
     match request.headers.get("if-match"), request.headers.get("if-none-match"):
         case None, None:
             return make_error(428, "A write needs If-Match or If-None-Match: *.")
@@ -394,7 +401,7 @@
     return ("ETag", f'"{entry.version}"')
 
 
-def _show(entry: Entry | None) -> Reply:
+def _make_object_reply(entry: Entry | None) -> Reply:
     if entry is None:
         return make_error(404, "There is no such object.")
     headers = (("Content-Type", "application/json"), _make_etag(entry))
@@ -407,8 +414,8 @@
 @click.option("--settings", type=click.Path(exists=True, path_type=Path))
 def main(listen: str, control: str, settings: Path | None) -> None:
     """Serve the platform's object API, seeded from a settings file if one is given."""
-    api_at = parse_address(listen)
-    control_at = parse_address(control)
+    api_address = parse_address(listen)
+    control_address = parse_address(control)
     seed = read_settings(settings) if settings else None
 
     async def start(nursery: trio.Nursery) -> None:
@@ -416,10 +423,12 @@
         if seed is not None and settings is not None:
             platform.seed(seed, settings.read_text())
         for server in (
-            HttpServer(ip=api_at.ip, port=api_at.port, handle=platform.handle),
             HttpServer(
-                ip=control_at.ip,
-                port=control_at.port,
+                ip=api_address.ip, port=api_address.port, handle=platform.handle
+            ),
+            HttpServer(
+                ip=control_address.ip,
+                port=control_address.port,
                 handle=platform.handle_control,
             ),
         ):
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,19 +1,22 @@
-"""Running a stand-in as a process: ready line, signals, exit status."""
+"""Runs a stand-in as a process: the ready line, signals and the exit status."""
 
 import signal
 from collections.abc import Awaitable, Callable
 
 import trio
 
-Main = Callable[[trio.Nursery], Awaitable[None]]
+StartTasks = Callable[[trio.Nursery], Awaitable[None]]
 
 
-def run_process(start: Main) -> None:
-    """Run what `start` starts in a nursery, print `ready`, and stop on a signal."""
+def run_process(start: StartTasks) -> None:
+    """Run the tasks of `start`, print `ready`, and stop on SIGTERM or SIGINT.
+
+    `start` is called with a nursery and starts the stand-in's tasks in it.
+    """
     trio.run(_run, start)
 
 
-async def _run(start: Main) -> None:
+async def _run(start: StartTasks) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             await start(nursery)
@@ -24,7 +27,7 @@
 
 
 def run_to_end(main: Callable[..., Awaitable[None]], *arguments: object) -> None:
-    """Run `main` until it returns or a signal comes; either ends with status 0."""
+    """Run `main` until it returns or SIGTERM or SIGINT arrives; the status is 0."""
     trio.run(_run_to_end, main, arguments)
 
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""A relay for TCP connections that can lose track of them, as a middlebox does."""
+"""A TCP relay that can silently drop traffic, as a middlebox that lost its state."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -9,27 +9,27 @@
 
 from .http import open_listener
 
-READ_SIZE = 65_536
+MAX_RECEIVE_BYTES = 65_536
 Way = Literal["towards", "back", "both"]
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Flow:
-    """One direction of one connection; a silent one swallows what it is given."""
+    """One direction of one connection; a silent one drops what it receives."""
 
     source: trio.SocketStream
     sink: trio.SocketStream
     is_silent: bool = False
 
     async def run(self, scope: trio.CancelScope) -> None:
-        """Carry bytes until either end closes, then end the whole connection."""
+        """Copy bytes until either end closes, then end the connection by `scope`."""
         try:
-            while data := await self.source.receive_some(READ_SIZE):
+            while data := await self.source.receive_some(MAX_RECEIVE_BYTES):
                 if not self.is_silent:
                     await self.sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        # The end of a silent connection stays unknown to the other side, too.
+        # A silent connection does not propagate its close to the other side either.
         if not self.is_silent:
             scope.cancel()
 
@@ -45,11 +45,11 @@
 
 
 class Relay:
-    """Stands at `listen` and carries each connection on to `to`.
+    """Accepts connections at `listen` and relays each to the address `to`.
 
-    During a cut nothing arrives, one way or both ways, on connections that are open
-    or come meanwhile; both ends still believe in them. After the cut those stay
-    silent for good and new ones work.
+    During a cut, data in the given direction is dropped on all connections, and their
+    ends are not notified. Connections that were open during a cut stay silent after
+    it; only new ones work.
     """
 
     def __init__(self, *, listen: Address, to: Address) -> None:
@@ -59,13 +59,13 @@
         self._connections: set[_Connection] = set()
 
     def cut(self, way: Way = "both") -> None:
-        """Make open and coming connections silent; `towards` is the way to `to`."""
+        """Silence open and new connections; `towards` is the direction to `to`."""
         self._cut = way
         for connection in self._connections:
             connection.silence(way)
 
     def restore(self) -> None:
-        """Let new connections work again."""
+        """End the cut for new connections."""
         self._cut = None
 
     async def run(
@@ -78,16 +78,18 @@
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         try:
-            other = await trio.open_tcp_stream(self.to.ip, self.to.port)
+            upstream = await trio.open_tcp_stream(self.to.ip, self.to.port)
         except OSError:
             return
-        async with other:
-            await self._carry(stream, other)
+        async with upstream:
+            await self._relay(stream, upstream)
 
-    async def _carry(self, stream: trio.SocketStream, other: trio.SocketStream) -> None:
+    async def _relay(
+        self, stream: trio.SocketStream, upstream: trio.SocketStream
+    ) -> None:
         connection = _Connection(
-            towards=_Flow(source=stream, sink=other),
-            back=_Flow(source=other, sink=stream),
+            towards=_Flow(source=stream, sink=upstream),
+            back=_Flow(source=upstream, sink=stream),
         )
         if self._cut is not None:
             connection.silence(self._cut)
--- a/standins/result.py
+++ b/standins/result.py
@@ -1,4 +1,4 @@
-"""The result of a backend stand-in, which its caller can check."""
+"""The result that the backend stand-in returns, which callers can check."""
 
 from dataclasses import dataclass
 
@@ -9,8 +9,8 @@
 class Result:
     """The result of a call.
 
-    `query` and `length` are those of the request's body, so that a caller can
-    verify that the answer belongs to its own request.
+    `query` and `length` are taken from the request's body, so that the caller can
+    check that the answer belongs to its request.
     """
 
     shard: str
@@ -29,7 +29,7 @@
 
 
 def read_query(body: bytes) -> str | None:
-    """Return the string under "query" in a body, or None where there is none."""
+    """Return the string under "query" in a JSON body, or None if there is none."""
     try:
         return _DECODER.decode(body).query
     except msgspec.DecodeError:
--- a/standins/spoiling.py
+++ b/standins/spoiling.py
@@ -1,4 +1,4 @@
-"""Answers that are crossed, cut short or doubled on their way out."""
+"""Swaps, truncates or duplicates the answers of the backend stand-in."""
 
 from dataclasses import replace
 
@@ -8,13 +8,13 @@
 
 
 class Spoiler:
-    """Spoils answers as the faults say; remembers the last for a crossed one."""
+    """Applies the faults `crossed`, `truncated` and `duplicated` to answers."""
 
     def __init__(self) -> None:
-        self._last: Reply | None = None
+        self._previous: Reply | None = None
 
     def spoil(self, reply: Reply, faults: BackendFaults, draws: Draws) -> Reply:
-        """Return what goes out in place of `reply`."""
+        """Return the reply to send in place of `reply`."""
         if faults.crossed:
             reply = self._cross(reply, faults, draws)
         if draws.happens(faults.truncated):
@@ -24,8 +24,8 @@
         return reply
 
     def _cross(self, reply: Reply, faults: BackendFaults, draws: Draws) -> Reply:
-        last = self._last
-        self._last = reply
-        if last is not None and draws.happens(faults.crossed):
-            return last
+        previous = self._previous
+        self._previous = reply
+        if previous is not None and draws.happens(faults.crossed):
+            return previous
         return reply
--- a/standins/tally.py
+++ b/standins/tally.py
@@ -1,4 +1,4 @@
-"""What a load came to: outcomes counted, latencies and gaps measured."""
+"""Counts the outcomes of a load and measures latencies and gaps between answers."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 from .answers import Outcome
 
 MAX_REASONS = 50
-MAX_SAMPLES = 5
+MAX_WRONG_SAMPLES = 5
 MAX_TRACKED_US = 600_000_000
-OTHER = "other"
+OTHER_REASONS = "other"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Record:
-    """One request and its outcome; times in seconds from the load's start."""
+    """One request and its outcome; times are in seconds from the load's start."""
 
     query: str
     ticket: str
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Summary:
-    """What a load came to. Latencies are those of answers, whole or in part.
+    """The summary of a load. Latencies are of whole and partial answers.
 
-    An open loop counts them from the moment when the request was due, so that a
-    slow sender cannot hide them. `mean_share` is over all answers, those that
-    cover nothing included. `worst_gap_ms` is the longest stretch of sending time
-    without an answer. `reasons` counts all outcomes but whole answers.
+    In an open loop, latencies count from the time when the request was due, so that
+    a slow sender cannot hide delays. `mean_share` is over all answers, including
+    those that cover no shard. `worst_gap_ms` is the longest time without an answer
+    while requests were sent. `reasons` counts all outcomes except whole answers.
     """
 
     sent: int
@@ -70,7 +70,7 @@
 
 
 class Tally:
-    """Counts outcomes as they come and makes the summary of them."""
+    """Accumulates the outcomes of requests and summarises them."""
 
     def __init__(self) -> None:
         self.n_sent = 0
@@ -78,9 +78,9 @@
         self.n_retries = 0
         self._outcomes: Counter[Outcome] = Counter()
         self._reasons: Counter[str] = Counter()
-        self._samples: list[str] = []
+        self._wrong_samples: list[str] = []
         self._latencies = _make_histogram()
-        self._refusals = _make_histogram()
+        self._refusal_latencies = _make_histogram()
         self._n_shares = 0
         self._share_sum = 0.0
         self._min_share = 1.0
@@ -90,15 +90,15 @@
     def add(self, record: Record) -> None:
         """Count one request's outcome."""
         self._outcomes[record.outcome] += 1
-        took_us = max(1, round((record.ended_s - record.due_s) * 1e6))
+        latency_us = max(1, round((record.ended_s - record.due_s) * 1e6))
         match record.outcome:
             case Outcome.ANSWERED | Outcome.PARTLY:
-                self._latencies.record_value(took_us)
-                self._close_gap(record.ended_s)
+                self._latencies.record_value(latency_us)
+                self._update_worst_gap(record.ended_s)
             case Outcome.NOT_RUN:
-                self._refusals.record_value(took_us)
-            case Outcome.WRONG if len(self._samples) < MAX_SAMPLES:
-                self._samples.append(f"{record.query}: {record.reason}")
+                self._refusal_latencies.record_value(latency_us)
+            case Outcome.WRONG if len(self._wrong_samples) < MAX_WRONG_SAMPLES:
+                self._wrong_samples.append(f"{record.query}: {record.reason}")
         if record.outcome is not Outcome.ANSWERED:
             self._add_reason(f"{record.outcome}: {record.reason}")
         if record.share is not None:
@@ -108,15 +108,18 @@
 
     def _add_reason(self, reason: str) -> None:
         is_full = len(self._reasons) >= MAX_REASONS and reason not in self._reasons
-        self._reasons[OTHER if is_full else reason] += 1
+        self._reasons[OTHER_REASONS if is_full else reason] += 1
 
-    def _close_gap(self, at_s: float) -> None:
+    def _update_worst_gap(self, at_s: float) -> None:
         self._worst_gap_s = max(self._worst_gap_s, at_s - self._last_answer_s)
         self._last_answer_s = max(self._last_answer_s, at_s)
 
-    def sum_up(self, *, sending_s: float, duration_s: float) -> Summary:
-        """Make the summary; sending ended after `sending_s`, all after `duration_s`."""
-        self._close_gap(max(sending_s, self._last_answer_s))
+    def summarise(self, *, sending_s: float, duration_s: float) -> Summary:
+        """Return the summary of a load that was sent in `sending_s`.
+
+        Its last outcome came after `duration_s`.
+        """
+        self._update_worst_gap(max(sending_s, self._last_answer_s))
         counts = self._outcomes
         n_answers = counts[Outcome.ANSWERED] + counts[Outcome.PARTLY]
         return Summary(
@@ -130,14 +133,14 @@
             p90_ms=_get_ms(self._latencies, 90),
             p99_ms=_get_ms(self._latencies, 99),
             max_ms=_get_ms(self._latencies, 100),
-            refusal_p50_ms=_get_ms(self._refusals, 50),
-            refusal_p99_ms=_get_ms(self._refusals, 99),
-            refusal_max_ms=_get_ms(self._refusals, 100),
+            refusal_p50_ms=_get_ms(self._refusal_latencies, 50),
+            refusal_p99_ms=_get_ms(self._refusal_latencies, 99),
+            refusal_max_ms=_get_ms(self._refusal_latencies, 100),
             mean_share=round(self._share_sum / max(1, self._n_shares), 6),
             min_share=self._min_share if self._n_shares else 0.0,
             worst_gap_ms=round(self._worst_gap_s * 1e3, 1),
             reasons=dict(self._reasons.most_common()),
-            wrong_samples=tuple(self._samples),
+            wrong_samples=tuple(self._wrong_samples),
         )
 
 
--- a/tests/test_standins_store.py
+++ b/tests/test_standins_store.py
@@ -3,13 +3,13 @@
 import pytest
 
 from standins import store
-from standins.store import ALWAYS, Store, StoreFullError
+from standins.store import BEFORE_START, Store, StoreFullError
 
 
 class TestPast:
     def test_reads_see_the_store_as_of_a_moment(self):
         objects = Store()
-        for now, value in ((ALWAYS, b"seed"), (5.0, b"one"), (7.0, b"two")):
+        for now, value in ((BEFORE_START, b"seed"), (5.0, b"one"), (7.0, b"two")):
             objects.put("a", value, now)
         objects.put("b", b"", 8.0)
         seen = [objects.get("a", at) for at in (0.0, 5.0, 6.9, 9.0)]
@@ -29,7 +29,7 @@
 class TestBounds:
     def test_past_is_forgotten_by_number_and_by_bytes(self):
         objects = Store()
-        for now in range(store.MAX_PAST + 10):
+        for now in range(store.MAX_OBJECT_VERSIONS + 10):
             objects.put("many", b"", now)
         for now in range(20):
             objects.put("large", b"x" * 1_000_000, now)
@@ -40,7 +40,7 @@
 
     def test_newest_version_is_never_forgotten(self):
         objects = Store()
-        objects.put("a", b"x" * (store.MAX_PAST_BYTES + 1), 0.0)
+        objects.put("a", b"x" * (store.MAX_OBJECT_HISTORY_BYTES + 1), 0.0)
         assert objects.get("a", 0.0) is not None
 
     def test_too_many_objects_or_bytes_are_refused(self, monkeypatch):
