--- a/standins/leafs.py
+++ b/standins/leafs.py
@@ -66,7 +66,7 @@
     away: float = 1.0
     ended_by: list[str] = field(default_factory=list)
     past_ids: list[str] = field(default_factory=list)
-    life: trio.CancelScope = field(default_factory=trio.CancelScope)
+    serve_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     server: HttpServer = field(init=False)
 
     async def run(
@@ -77,8 +77,8 @@
         """Register in `store` and serve until cancelled, restarting after crashes."""
         is_first = True
         while True:
-            self.life = trio.CancelScope()
-            with self.life:
+            self.serve_scope = trio.CancelScope()
+            with self.serve_scope:
                 async with trio.open_nursery() as nursery:
                     self.server = HttpServer(ip="127.0.0.1", port=0, handle=self.handle)
                     port = await nursery.start(self.server.run)
@@ -129,7 +129,7 @@
             await trio.sleep(self.ends_after)
             self.ended_by.append(attempt)
             self.server.close_port()
-            self.life.cancel()
+            self.serve_scope.cancel()
         self.n_running += 1
         try:
             with trio.move_on_after(self.faults.work):
