--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's manifest, entries and store in the product's words."""
+"""The platform adapter: the manifest, entries in the store, and the store's client."""
 
 import json
 
@@ -34,31 +34,31 @@
 }
 
 
-def read(**changes):
+def read_manifest(**changes):
     body = {"version": 7, "routes": [ROUTE | changes], "services": [], "limits": {}}
     return manifest.read_routes(json.dumps(body).encode())
 
 
 class TestManifest:
     def test_a_route_to_one_service(self):
-        [route] = read(service="s1").routes
+        [route] = read_manifest(service="s1").routes
         assert route.target == OneOf(groups=(WeightedGroup(group="s1", weight=1.0),))
         assert (route.goal_ms, route.timeout_ms, route.max_attempts) == (92, 400, 2)
         assert route.idempotent
 
     def test_a_route_over_all_shards(self):
-        [route] = read(gather=["s1", "s2"], top_k=50, min_coverage=0.89).routes
+        [route] = read_manifest(gather=["s1", "s2"], top_k=50, min_coverage=0.89).routes
         assert route.target == GreatestOfAll(
             groups=("s1", "s2"), n_records=50, min_share=0.89
         )
 
     def test_a_split_route(self):
         split = [{"service": "s1", "weight": 3}, {"service": "s2", "weight": 1}]
-        [route] = read(traffic_split=split).routes
+        [route] = read_manifest(traffic_split=split).routes
         assert isinstance(route.target, OneOf)
         assert [each.weight for each in route.target.groups] == [3, 1]
 
-    def test_a_cold_server_s_rate_is_unbounded_where_none_is_named(self):
+    def test_a_service_without_a_warmup_rate_is_unlimited(self):
         services = [
             {"name": "s1", "warmup_s": 3.0, "warmup_per_s": 10.0},
             {"name": "s2", "warmup_s": 3.0, "warmup_per_s": 0.0},
@@ -68,17 +68,21 @@
         routes = manifest.read_routes(json.dumps(body).encode())
         assert routes.cold_rates == {"s1": 10.0}
 
-    def test_whatever_is_not_idempotent_runs_at_most_once(self):
-        assert not read(service="s1", type="non_idempotent").routes[0].idempotent
-        assert not read(service="s1", type="something new").routes[0].idempotent
+    def test_any_other_type_is_not_idempotent(self):
+        assert (
+            not read_manifest(service="s1", type="non_idempotent").routes[0].idempotent
+        )
+        assert (
+            not read_manifest(service="s1", type="something new").routes[0].idempotent
+        )
 
     @pytest.mark.parametrize("body", [b"", b"[]", b'{"version": "x"}', b"\xff"])
-    def test_nonsense_is_a_value_error(self, body):
+    def test_an_invalid_manifest_raises_value_error(self, body):
         with pytest.raises(ValueError):
             manifest.read_routes(body)
 
     @pytest.mark.parametrize("address", ["", "10.0.0.1", "10.0.0.1:x", 3])
-    def test_a_server_s_entry_without_an_address_is_refused(self, address):
+    def test_a_server_with_an_invalid_address_is_refused(self, address):
         entry = {"service": "s", "address": address, "zone": "z", "slots": 2}
         with pytest.raises(ValueError):
             entries.read_server("i-1", json.dumps(entry | {"state": "ready"}).encode())
@@ -88,11 +92,11 @@
         assert entries.read_evacuation("ptl-a", b'{"new": 1}') == "ptl-a"
 
     @pytest.mark.parametrize("body", [b"", b'"ptl-a"', b"[]", b"null", b"\xff"])
-    def test_an_evacuation_that_makes_no_sense_is_refused(self, body):
+    def test_an_invalid_evacuation_is_refused(self, body):
         with pytest.raises(ValueError):
             entries.read_evacuation("ptl-a", body)
 
-    def test_a_server_that_leaves(self):
+    def test_a_draining_server(self):
         entry = {
             "service": "s",
             "address": "10.0.0.1:80",
@@ -108,7 +112,7 @@
         assert not server.is_cold
         assert (server.server_id, server.data_centre) == ("i-1", "ptl-a")
 
-    def test_a_server_that_is_cold(self):
+    def test_a_cold_server(self):
         entry = {
             "service": "s",
             "address": "10.0.0.1:80",
@@ -140,63 +144,63 @@
 
 
 class TestStore:
-    async def test_a_listing_goes_over_all_pages(self, store):
+    async def test_a_listing_fetches_all_pages(self, store):
         standin, client = store
-        for place in range(2 * objectstore.PAGE_ITEMS + 3):
-            standin.put("servers", f"i-{place:03}", {"n": place})
+        for index in range(2 * objectstore.PAGE_ITEMS + 3):
+            standin.put("servers", f"i-{index:03}", {"n": index})
         listing = await client.list_feed(SERVERS_FEED, may_lag=False)
         assert isinstance(listing, FeedListing)
         assert len(listing.entries) == 2 * objectstore.PAGE_ITEMS + 3
         assert listing.revision == standin.revision
 
-    async def test_a_watch_tells_what_changes_while_it_waits(self, store):
+    async def test_a_watch_returns_changes_made_while_it_waits(self, store):
         standin, client = store
         base = standin.put("servers", "i-1", {"n": 1})
         async with trio.open_nursery() as nursery:
-            told = []
+            results = []
 
             async def watch():
-                told.append(
+                results.append(
                     await client.watch_feed(SERVERS_FEED, after=base, wait_s=5.0)
                 )
 
             nursery.start_soon(watch)
             await trio.sleep(0.05)
             standin.remove("servers", "i-1")
-        [changes] = told
+        [changes] = results
         assert isinstance(changes, FeedChanges)
         assert [(c.name, c.body) for c in changes.changes] == [("i-1", None)]
 
-    async def test_a_watch_without_news_ends_in_time(self, store):
+    async def test_a_watch_without_changes_times_out(self, store):
         standin, client = store
-        told = await client.watch_feed(
+        result = await client.watch_feed(
             SERVERS_FEED, after=standin.revision, wait_s=0.05
         )
-        assert told == FeedChanges(revision=standin.revision, changes=())
+        assert result == FeedChanges(revision=standin.revision, changes=())
 
-    async def test_history_that_is_gone(self, store):
+    async def test_a_watch_from_a_dropped_revision(self, store):
         standin, client = store
         base = standin.put("servers", "i-1", {"n": 1})
         standin.put("servers", "i-2", {"n": 1})
         standin.forget_history()
-        told = await client.watch_feed(SERVERS_FEED, after=base, wait_s=1.0)
-        assert told == HistoryGone()
+        result = await client.watch_feed(SERVERS_FEED, after=base, wait_s=1.0)
+        assert result == HistoryGone()
 
-    async def test_a_busy_store_is_lost_with_its_reason(self, store):
+    async def test_a_busy_store_is_a_server_error(self, store):
         standin, client = store
         standin.mode = "busy"
-        told = await client.list_feed(SERVERS_FEED, may_lag=False)
-        assert isinstance(told, StoreLost)
-        assert told.reason is Reason.SERVER_ERROR
+        result = await client.list_feed(SERVERS_FEED, may_lag=False)
+        assert isinstance(result, StoreLost)
+        assert result.reason is Reason.SERVER_ERROR
 
-    async def test_a_watch_that_hangs_is_given_up_soon(self, store):
+    async def test_a_watch_of_a_silent_store_times_out(self, store):
         standin, client = store
         standin.mode = "silent"
         with trio.fail_after(2.0):
-            told = await client.watch_feed(SERVERS_FEED, after=1, wait_s=0.1)
-        assert isinstance(told, StoreLost)
+            result = await client.watch_feed(SERVERS_FEED, after=1, wait_s=0.1)
+        assert isinstance(result, StoreLost)
 
-    async def test_a_host_registers_over_its_older_entry(self, store):
+    async def test_registering_a_host_replaces_its_entry(self, store):
         standin, client = store
         host = parse_host_file(
             json.dumps(
@@ -228,14 +232,14 @@
             [entry] = listing.entries
             assert adapter.read_host(entry.body) == address
 
-    async def test_strikes_are_kept_listed_and_removed(self, store):
+    async def test_strikes_are_written_listed_and_removed(self, store):
         _, client = store
         adapter = PlatformAdapter.__new__(PlatformAdapter)
         adapter.source = client
         strike = Strike(
             name="c0.7", content="c0", host="a-1", servers=("i-1",), is_trial=True
         )
-        for _ in range(2):  # The answer to the first may have been lost.
+        for _ in range(2):  # A write is repeated if its answer is lost.
             assert await adapter.write_strike(strike)
         listing = await client.list_feed(STRIKES_FEED, may_lag=False)
         assert isinstance(listing, FeedListing)
@@ -256,7 +260,7 @@
             b'{"content": "c0", "host": "a", "servers": [], "trial": "yes"}',
         ],
     )
-    def test_nonsense_is_no_strike(self, body):
+    def test_an_invalid_strike_is_refused(self, body):
         with pytest.raises(ValueError):
             entries.read_strike("c0.7", body)
 
--- a/tests/test_standins_backend.py
+++ b/tests/test_standins_backend.py
@@ -1,4 +1,4 @@
-"""The backend stand-in: limits, truthful refusals, and each fault on demand."""
+"""The backend stand-in: limits, refusals and each fault."""
 
 import random
 from contextlib import asynccontextmanager
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """Jump only after a real pause, since data passes through kernel sockets."""
     return MockClock(autojump_threshold=0.005)
 
 
 class Bench:
-    """One backend server, its control port, and callers of both."""
+    """One backend server with its control port, and methods to call both."""
 
     def __init__(self, *, server: BackendServer, control_port: int):
         self.server = server
@@ -56,15 +56,15 @@
         path: str = "/search",
         body: bytes = b"{}",
         over: Client | None = None,
-        **names: str,
+        **call_headers: str,
     ):
-        headers = {n.replace("_", "-"): v for n, v in names.items()}
+        headers = {n.replace("_", "-"): v for n, v in call_headers.items()}
         headers["Attempt"] = attempt
         caller = over or await self.connect()
         return await caller.request("POST", path, headers=headers, body=body)
 
     async def call_all(self, n_calls: int) -> list[int]:
-        """Send calls all at once; return their statuses, 0 for one lost."""
+        """Send calls concurrently; return their statuses, 0 for a lost call."""
         statuses = [0] * n_calls
 
         async def send(i: int) -> None:
@@ -103,7 +103,7 @@
 
 
 class TestAnswer:
-    async def test_answer_names_its_call(self):
+    async def test_answer_identifies_its_call(self):
         async with serve(index_versions=[6, 7]) as bench:
             answer = await bench.call(
                 "a1", body=b'{"query": "bus"}', shard="s03", index_version="6"
@@ -169,17 +169,16 @@
             await trio.testing.wait_all_tasks_blocked(0.01)
             assert (await bench.call("a4")).status == 200
 
-    async def test_no_slot_is_lost_or_doubled_by_cancels_and_deaths(self, clock):
-        """Callers leave and run out of time while the server dies and returns: a
-        slot given to a call in the moment of its end must come back, or the server
-        would shed more and more."""
-        chance = random.Random(7)
+    async def test_no_slot_is_lost_or_doubled_by_cancels_and_crashes(self, clock):
+        """A slot assigned to a call just as the call ends was lost, so that the server
+        shed more and more calls."""
+        rng = random.Random(7)
         async with serve(service_ms=30, service_law="exponential") as bench:
 
             async def send(i: int) -> None:
-                await trio.sleep(chance.random())
-                left_ms = chance.choice((5, 40, 400))
-                with trio.move_on_after(chance.choice((0.01, 0.05, 1.0))):
+                await trio.sleep(rng.random())
+                left_ms = rng.choice((5, 40, 400))
+                with trio.move_on_after(rng.choice((0.01, 0.05, 1.0))):
                     try:
                         await bench.call(f"a{i}", deadline_ms=str(left_ms))
                     except (LostConnectionError, OSError):
@@ -188,8 +187,8 @@
             async with trio.open_nursery() as nursery:
                 for i in range(60):
                     nursery.start_soon(send, i)
-                for moment in (0.3, 0.3):
-                    await trio.sleep(moment)
+                for pause_s in (0.3, 0.3):
+                    await trio.sleep(pause_s)
                     await bench.set_faults(dead=True, restart_ms=20)
             await trio.sleep(1)
             counts = bench.server.get_counts()
@@ -197,10 +196,9 @@
             assert counts["max_in_use"] == 2
             assert await bench.call_all(2) == [200, 200]
 
-    async def test_death_with_a_queue_loses_no_slot(self, clock):
-        """The server dies with one call in service and one in the queue: the dying
-        one hands its slot to the other, which dies in the same moment. The order is
-        trio's own, so that ten deaths are tried."""
+    async def test_crash_with_a_queue_loses_no_slot(self, clock):
+        """A crash ends the call in service, whose slot goes to a queued call that ends,
+        too. The order of both is up to trio, so ten crashes are tried."""
         async with serve(service_ms=1_000, slots=1) as bench:
             for _ in range(10):
                 async with trio.open_nursery() as nursery:
@@ -219,7 +217,7 @@
             with trio.move_on_after(30):
                 async with trio.open_nursery() as nursery:
                     caller = await bench.connect()
-                    nursery.start_soon(bench_call_quietly, bench, caller)
+                    nursery.start_soon(call_and_ignore_loss, bench, caller)
                     await trio.sleep(1)
                     if closes:
                         await caller.aclose()
@@ -255,7 +253,7 @@
             assert bench.server.counts.answered == 1
 
 
-async def bench_call_quietly(bench: Bench, caller: Client) -> None:
+async def call_and_ignore_loss(bench: Bench, caller: Client) -> None:
     try:
         await bench.call("a1", over=caller)
     except (LostConnectionError, trio.ClosedResourceError):
@@ -273,14 +271,14 @@
             ({"shards": {"1": ["s01"]}}, 421),
         ],
     )
-    async def test_refusal_is_not_run_and_true(self, faults, status):
+    async def test_refusal_is_marked_not_run(self, faults, status):
         async with serve(**faults) as bench:
             answer = await bench.call("a1", shard="s03", index_version="1")
             expect_not_run(answer, status)
             assert ("retry-after" in answer.headers) == (status == 503)
             assert bench.server.counts.run == 0
 
-    async def test_draining_finishes_what_it_took(self, clock):
+    async def test_draining_server_finishes_accepted_calls(self, clock):
         async with serve(service_ms=1_000, slots=1) as bench:
             async with trio.open_nursery() as nursery:
                 statuses = []
@@ -295,8 +293,8 @@
             assert statuses == [200, 200]
 
 
-class TestLies:
-    async def test_health_lags_and_lies(self, clock):
+class TestStaleAndFalseReports:
+    async def test_health_can_be_stale_or_false(self, clock):
         async with serve() as bench:
             await trio.sleep(10)
             await bench.set_faults(state="draining", health_lag_ms=3_000)
@@ -304,11 +302,11 @@
             await trio.sleep(3)
             later = await bench.get("/health")
             await bench.set_faults(health_says="serving")
-            lie = await bench.get("/health")
-        states = [health["state"] for health in (first, later, lie)]
+            false_health = await bench.get("/health")
+        states = [health["state"] for health in (first, later, false_health)]
         assert states == ["serving", "draining", "serving"]
 
-    async def test_load_lags_and_lies(self, clock):
+    async def test_load_can_be_stale_or_false(self, clock):
         async with serve(service_ms=1_000, load_lag_ms=5_000) as bench:
             await trio.sleep(10)
             first = await bench.get("/load")
@@ -318,11 +316,11 @@
                 assert await bench.get("/load") == first
                 await bench.set_faults(load_lag_ms=0)
                 assert (await bench.get("/load"))["in_use"] == 1
-                lie = {"in_use": 0, "slots": 9, "queued": 0}
-                await bench.set_faults(load_says=lie)
-                assert await bench.get("/load") == lie
+                false_load = {"in_use": 0, "slots": 9, "queued": 0}
+                await bench.set_faults(load_says=false_load)
+                assert await bench.get("/load") == false_load
 
-    async def test_index_versions_switch_at_a_moment(self, clock):
+    async def test_index_versions_switch_after_a_delay(self, clock):
         async with serve(index_versions=[6, 7]) as bench:
             await bench.set_faults(next_index_versions=[7, 8], switch_after_ms=2_000)
             before = await bench.call("a1", index_version="6")
@@ -335,9 +333,9 @@
 
 
 class TestConnections:
-    async def test_silence_holds_for_open_connections_only(self, clock):
-        """A call over an old connection never gets an answer although the server
-        runs it; one over a new connection is answered at once."""
+    async def test_silence_affects_open_connections_only(self, clock):
+        """A call over an old connection runs but is never answered; one over a new
+        connection is answered at once."""
         async with serve() as bench:
             old = await bench.connect()
             assert (await bench.call("a1", over=old)).status == 200
@@ -351,7 +349,7 @@
             await trio.sleep(0.1)
             assert (await bench.call("a4")).status == 200
 
-    async def test_dead_refuses_connections_until_it_comes_back(self, clock):
+    async def test_dead_server_refuses_connections_until_it_restarts(self, clock):
         async with serve(service_ms=1_000) as bench:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(expect_lost, bench)
@@ -364,7 +362,9 @@
             assert (await bench.call("a2")).status == 200
 
     @pytest.mark.parametrize(("when", "n_run"), [("before run", 0), ("after run", 1)])
-    async def test_crash_loses_the_answer_and_not_the_count(self, when, n_run, clock):
+    async def test_crash_loses_the_answer_but_keeps_the_counts(
+        self, when, n_run, clock
+    ):
         async with serve(crash=when, restart_ms=500) as bench:
             with pytest.raises(LostConnectionError):
                 await bench.call("a1", path="/run", ticket="t1")
@@ -399,9 +399,9 @@
 
 
 class TestChangesOfFaults:
-    async def test_silence_is_done_once_and_not_again_by_another_change(self, clock):
-        """Connections are silenced and later another fault is set: a connection
-        opened in between went silent too, since the first fault still stood."""
+    async def test_another_change_does_not_silence_again(self, clock):
+        """Setting another fault later also silenced connections opened in between,
+        since the first fault was still set."""
         async with serve() as bench:
             await bench.set_faults(silence=True)
             later = await bench.connect()
@@ -411,8 +411,8 @@
                 assert (await bench.call("a2", over=later)).status == 200
 
     async def test_another_change_does_not_move_the_switch(self, clock):
-        """Index versions switch 2 s after the change that says so. A change of
-        something else counted the 2 s anew, and took a switch back."""
+        """Changing another fault restarted the delay of a switch of index versions,
+        and reverted a switch that had taken place."""
         async with serve() as bench:
             await bench.set_faults(next_index_versions=[2], switch_after_ms=2_000)
             await trio.sleep(1.5)
@@ -423,7 +423,7 @@
             later = await bench.get("/health")
         assert first["index_versions"] == later["index_versions"] == [2]
 
-    async def test_restart_can_be_set_for_a_server_that_is_dead(self, clock):
+    async def test_restart_can_be_set_for_a_dead_server(self, clock):
         async with serve(dead=True) as bench:
             await trio.sleep(1)
             await bench.set_faults(restart_ms=500)
@@ -440,35 +440,35 @@
             ("wrong_attempt", "attempt", "not-a1"),
         ],
     )
-    async def test_answer_states_another_call(self, fault, header, value):
+    async def test_answer_has_a_wrong_header(self, fault, header, value):
         async with serve(**{fault: 1}) as bench:
             answer = await bench.call("a1", shard="s03", index_version="1")
         assert (answer.status, answer.headers[header]) == (200, value)
 
-    async def test_crossed_answer_is_that_of_the_call_before(self):
+    async def test_crossed_answer_is_that_of_the_previous_call(self):
         async with serve(crossed=1) as bench:
             await bench.call("a1", body=b'{"query": "one"}')
             answer = await bench.call("a2", body=b'{"query": "two"}')
         assert answer.headers["attempt"] == "a1"
         assert answer.json["query"] == "one"
 
-    async def test_duplicated_answer_waits_for_the_next_call(self):
-        """The second copy lies in the connection and reads like the answer to
-        whatever is sent over it next."""
+    async def test_duplicated_answer_is_read_by_the_next_call(self):
+        """The second copy stays in the connection and is read as the answer to the
+        next call on it."""
         async with serve(duplicated=1) as bench:
             caller = await bench.connect()
             first = await bench.call("a1", over=caller)
             second = await bench.call("a2", over=caller)
         assert (first.headers["attempt"], second.headers["attempt"]) == ("a1", "a1")
 
-    async def test_truncated_answer_is_shorter_than_it_says(self):
+    async def test_truncated_answer_is_shorter_than_its_content_length(self):
         async with serve(truncated=1) as bench:
             with pytest.raises(LostConnectionError) as caught:
                 await bench.call("a1")
         assert caught.value.has_answer_bytes
 
     @pytest.mark.parametrize(("runs", "n_run"), [(True, 1), (False, 0)])
-    async def test_http_500_says_nothing(self, runs, n_run):
+    async def test_http_500_states_no_outcome(self, runs, n_run):
         async with serve(http_500=1, http_500_runs=runs) as bench:
             answer = await bench.call("a1", path="/run")
             assert (answer.status, answer.headers.get("outcome")) == (500, None)
@@ -519,7 +519,7 @@
             assert "error" in answer.json
             assert bench.server.faults == BackendFaults()
 
-    async def test_queries_are_remembered_on_demand(self):
+    async def test_queries_are_counted_on_demand(self):
         async with serve(remember_queries=True, shed=True) as bench:
             await bench.call("a1", body=b'{"query": "bus"}')
             seen = (await bench.control("GET", "/queries")).json
@@ -551,7 +551,7 @@
             + b"x" * 2_100_000,
         ],
     )
-    async def test_input_is_refused_and_the_server_goes_on(self, data):
+    async def test_server_keeps_serving_after_malformed_input(self, data):
         async with serve() as bench:
             stream = await trio.open_tcp_stream("127.0.0.1", bench.server.port)
             try:
--- a/tests/test_standins_load.py
+++ b/tests/test_standins_load.py
@@ -1,4 +1,4 @@
-"""The load tool: what it sends, what it accepts as right, what it counts."""
+"""The load tool: the requests it sends, its checks of answers, and its counts."""
 
 import copy
 import json
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """Jump only after a real pause, since data passes through kernel sockets."""
     return MockClock(autojump_threshold=0.005)
 
 
@@ -50,7 +50,7 @@
 ) -> dict[str, Any]:
     shards = [f"s{i:02}" for i in range(n_shards)]
     answered, missing = shards[n_missing:], shards[:n_missing]
-    blame = {"reason": "straggler", "step": "receive", "peer": "scheduler-00-a"}
+    cause = {"reason": "straggler", "step": "receive", "peer": "scheduler-00-a"}
     return {
         "request_id": sent.request_id,
         "outcome": "partly answered" if missing else "answered",
@@ -59,7 +59,7 @@
             "asked": n_shards,
             "answered": len(answered),
             "share": len(answered) / n_shards,
-            "missing": [{"shard": shard, **blame} for shard in missing],
+            "missing": [{"shard": shard, **cause} for shard in missing],
         },
         "results": [{"shard": s, "result": make_result(sent, s)} for s in answered],
     }
@@ -76,18 +76,18 @@
     }
 
 
-def receive(status: int, value: object, **headers: str) -> Answer:
+def encode_answer(status: int, value: object, **headers: str) -> Answer:
     return Answer(status=status, headers=headers, body=msgspec.json.encode(value))
 
 
-def change(value: dict[str, Any], path: str, new: object) -> dict[str, Any]:
-    """Return a copy of `value` with what stands at a dotted path replaced."""
+def replace_at(value: dict[str, Any], path: str, new: object) -> dict[str, Any]:
+    """Return a copy of `value` with the item at a dotted path replaced."""
     changed = copy.deepcopy(value)
     *parents, last = [int(p) if p.isdecimal() else p for p in path.split(".")]
-    place: Any = changed
+    container: Any = changed
     for parent in parents:
-        place = place[parent]
-    place[last] = new
+        container = container[parent]
+    container[last] = new
     return changed
 
 
@@ -100,10 +100,10 @@
             (4, 504, Outcome.UNCOVERED, 0.0),
         ],
     )
-    def test_right_answer_counts_with_its_share(
+    def test_correct_answer_counts_with_its_share(
         self, n_missing, status, outcome, share
     ):
-        answer = receive(status, make_answer(SENT, n_missing=n_missing))
+        answer = encode_answer(status, make_answer(SENT, n_missing=n_missing))
         verdict = check_query(answer, SENT)
         assert (verdict.outcome, verdict.share) == (outcome, share)
 
@@ -127,19 +127,19 @@
             ("results", None),
         ],
     )
-    def test_answer_that_is_wrong_in_one_place_is_wrong(self, path, new):
-        answer = receive(200, change(make_answer(SENT), path, new))
+    def test_answer_with_one_wrong_field_is_wrong(self, path, new):
+        answer = encode_answer(200, replace_at(make_answer(SENT), path, new))
         assert check_query(answer, SENT).outcome is Outcome.WRONG
 
-    def test_share_is_summed_from_the_published_map(self):
+    def test_share_is_summed_from_the_published_index(self):
         shards = [{"name": f"s{i:02}", "share": i / 6} for i in range(4)]
         index = {"snapshots": [{"version": 7, "shards": shards}]}
         shares = read_shares(msgspec.json.encode(index))
         answer = make_answer(SENT, n_missing=1)
-        wrong = check_query(receive(200, answer), SENT, shares)
-        whole = change(answer, "coverage.share", 1.0)
-        right = check_query(receive(200, whole), SENT, shares)
-        never = check_query(receive(200, whole), SENT, {8: shares[7]})
+        wrong = check_query(encode_answer(200, answer), SENT, shares)
+        whole = replace_at(answer, "coverage.share", 1.0)
+        right = check_query(encode_answer(200, whole), SENT, shares)
+        never = check_query(encode_answer(200, whole), SENT, {8: shares[7]})
         assert [v.outcome for v in (wrong, right, never)] == [
             Outcome.WRONG,
             Outcome.PARTLY,
@@ -157,16 +157,14 @@
             (404, "not run", {}, Outcome.REJECTED),
         ],
     )
-    def test_refusal_says_what_its_status_says(
-        self, status, outcome, headers, expected
-    ):
-        answer = receive(status, make_refusal(SENT, outcome), **headers)
+    def test_refusal_has_to_match_its_status(self, status, outcome, headers, expected):
+        answer = encode_answer(status, make_refusal(SENT, outcome), **headers)
         assert check_query(answer, SENT).outcome is expected
         assert check_booking(answer, SENT).outcome is expected
 
 
 class FakeEntry:
-    """An entry host whose answers a test writes; `spoil` changes each answer."""
+    """A fake entry host; `spoil` alters its answers, and `cuts` lists calls to cut."""
 
     def __init__(self) -> None:
         self.is_ready = True
@@ -207,7 +205,7 @@
 
 @asynccontextmanager
 async def serve(n_entries: int = 1, *, n_refusing: int = 0):
-    """Run entry hosts; `n_refusing` more are ready and refuse connections."""
+    """Run entry hosts, and `n_refusing` more that are ready but refuse connections."""
     entries = [FakeEntry() for _ in range(n_entries + n_refusing)]
     ports = []
     async with trio.open_nursery() as nursery:
@@ -243,7 +241,7 @@
         assert [len(entry.requests) for entry in entries] == [10, 10, 0]
         assert (summary.mean_share, summary.min_share) == (1.0, 1.0)
 
-    async def test_same_seed_sends_the_same(self, clock):
+    async def test_same_seed_sends_the_same_load(self, clock):
         async def measure(seed: int) -> list[Record]:
             records: list[Record] = []
             async with serve() as (_, ports):
@@ -255,20 +253,22 @@
         assert [r.due_s for r in first] != [r.due_s for r in other]
         assert [r.query for r in first[:2]] == ["q1-0", "q1-1"]
 
-    async def test_refused_connection_is_tried_at_another_host(self, clock):
+    async def test_query_is_tried_at_another_host_after_a_refused_connection(
+        self, clock
+    ):
         async with serve(1, n_refusing=1) as (_, ports):
             summary = await load(ports)
         assert (summary.answered, summary.refused, summary.retries) == (20, 0, 10)
 
-    async def test_no_ready_host_is_the_balancers_refusal(self, clock):
+    async def test_request_without_a_ready_host_is_refused(self, clock):
         async with serve() as (entries, ports):
             entries[0].is_ready = False
             summary = await load(ports)
         assert summary.refused == 20
 
-    async def test_wrong_cut_and_lost_are_counted_apart(self, clock):
+    async def test_wrong_cut_and_lost_are_counted_separately(self, clock):
         async with serve() as (entries, ports):
-            entries[0].spoil = lambda answer: change(answer, "coverage.share", 0.5)
+            entries[0].spoil = lambda answer: replace_at(answer, "coverage.share", 0.5)
             wrong = await load(ports)
             entries[0].cuts = ["query"] * 20
             cut = await load(ports)
@@ -277,7 +277,7 @@
         assert (wrong.wrong, cut.cut, lost.lost) == (20, 20, 20)
         assert "share is 0.5" in wrong.wrong_samples[0]
 
-    async def test_latency_counts_from_the_due_time_and_gaps_are_seen(self, clock):
+    async def test_latency_counts_from_the_due_time_and_gaps_are_measured(self, clock):
         async with serve() as (entries, ports):
             entries[0].delay_s = 0.5
             summary = await load(ports, n_requests=1_000, duration_s=2.0)
@@ -285,7 +285,7 @@
         assert summary.p50_ms == pytest.approx(500, abs=5)
         assert summary.worst_gap_ms == pytest.approx(520, abs=50)
 
-    async def test_requests_over_the_bound_are_skipped_and_said_so(self, clock):
+    async def test_requests_over_the_bound_are_skipped_and_counted(self, clock):
         async with serve() as (entries, ports):
             entries[0].delay_s = 1.0
             summary = await load(ports, max_in_flight=3)
@@ -293,7 +293,7 @@
         assert summary.skipped > 0
         assert summary.answered == summary.sent
 
-    async def test_closed_loop_caller_waits_as_long_as_it_was_told(self, clock):
+    async def test_closed_loop_caller_waits_for_the_retry_time(self, clock):
         async with serve() as (entries, ports):
             entries[0].refuses = True
             summary = await load(
--- a/tests/test_standins_platform.py
+++ b/tests/test_standins_platform.py
@@ -30,12 +30,12 @@
 
 @pytest.fixture
 def clock():
-    """Jump only after a real pause, since the bytes go through the kernel."""
+    """Jump only after a real pause, since data passes through kernel sockets."""
     return MockClock(autojump_threshold=0.005)
 
 
 class Caller:
-    """Callers of one platform stand-in; each call takes a connection of its own."""
+    """Calls one platform stand-in; each call uses a new connection."""
 
     def __init__(self, *, port: int, control_port: int):
         self.port = port
@@ -145,7 +145,7 @@
         assert statuses == [(0, 200), (1, 304), (1, 200)]
         assert answers[2][1].body == b"new"
 
-    async def test_watch_of_a_prefix_names_the_changed_keys(self, clock):
+    async def test_watch_of_a_prefix_lists_the_changed_keys(self, clock):
         async with serve() as caller, trio.open_nursery() as nursery:
             await caller.create("/objects/index/a")
             await caller.create("/objects/other")
@@ -169,7 +169,7 @@
             "objects": [{"key": "index/b", "version": 3}],
         }
 
-    async def test_watch_whose_client_has_left_is_forgotten(self, clock):
+    async def test_watch_of_a_disconnected_client_is_removed(self, clock):
         async with serve() as caller:
             with trio.move_on_after(1):
                 await caller.call("GET", f"{KEY}?after=0&wait_ms=60000")
@@ -178,9 +178,9 @@
 
 
 class TestOutages:
-    async def test_lost_reply_follows_a_write_that_took_effect(self):
-        """The client sees its connection end without a reply, after the platform
-        has written: a client that repeats the write is refused by its own first."""
+    async def test_write_with_a_lost_reply_takes_effect(self):
+        """After a lost reply, a client that repeats its write is refused because of
+        its own first one."""
         async with serve() as caller:
             await caller.set_faults(lose_replies=1)
             with pytest.raises(LostConnectionError):
@@ -190,7 +190,7 @@
         assert (again.status, again.headers["etag"]) == (412, '"1"')
         assert read.body == b"mine"
 
-    async def test_lost_request_leaves_no_write(self):
+    async def test_lost_request_writes_nothing(self):
         async with serve() as caller:
             await caller.set_faults(lose_requests=1)
             with pytest.raises(LostConnectionError):
@@ -213,7 +213,7 @@
             answers.append(await caller.call("GET", KEY))
         assert [answer.status for answer in answers] == [503, 503, 404]
 
-    async def test_silent_platform_never_answers_even_when_it_is_over(self, clock):
+    async def test_silent_connection_is_not_answered_after_the_fault(self, clock):
         async with serve() as caller:
             client = await caller.connect()
             await caller.set_faults(silent=True)
@@ -226,9 +226,9 @@
             assert scope.cancelled_caught
             assert (await caller.control("/counts"))["no reply"] == 1
 
-    async def test_stale_reads_and_watches_see_the_past(self, clock):
-        """A reader sees the version before the newest for as long as reads are
-        stale; a watch tells of the write only when its lag is over."""
+    async def test_reads_and_watches_can_be_stale(self, clock):
+        """Reads return the previous version while they are stale; a watch returns a
+        write only after its lag."""
         async with serve() as caller:
             await caller.create(body=b"old")
             await trio.sleep(10)
@@ -243,7 +243,7 @@
         assert (read.body, watch.body, later.body) == (b"old", b"new", b"new")
         assert waited == pytest.approx(3.0, abs=0.01)
 
-    async def test_rates_are_kept_for_reads_and_writes_apart(self, clock):
+    async def test_reads_and_writes_have_separate_rates(self, clock):
         async with serve() as caller:
             await caller.set_faults(reads_per_s=3, writes_per_s=2)
             reads = [(await caller.call("GET", KEY)).status for _ in range(4)]
@@ -284,7 +284,7 @@
 
 
 class TestSeeds:
-    async def test_objects_come_from_the_settings_file(self):
+    async def test_objects_are_created_from_the_settings_file(self):
         async with serve(seeded=True) as caller:
             settings = await caller.call("GET", KEY)
             index = await caller.call("GET", "/objects/index/scheduler")
--- a/tests/test_standins_process.py
+++ b/tests/test_standins_process.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes: they say that they are ready and end on SIGTERM."""
+"""The stand-ins as processes: they print `ready` and exit on SIGTERM."""
 
 import json
 import signal
@@ -43,12 +43,12 @@
     try:
         with trio.fail_after(LIMIT_S):
             assert process.stdout is not None
-            said = b""
-            while not said.endswith(b"\n"):
-                more = await process.stdout.receive_some(100)
-                assert more, "the stand-in ended before it was ready"
-                said += more
-            assert said == b"ready\n"
+            output = b""
+            while not output.endswith(b"\n"):
+                data = await process.stdout.receive_some(100)
+                assert data, "the stand-in ended before it was ready"
+                output += data
+            assert output == b"ready\n"
             yield process
     finally:
         process.kill()
@@ -56,7 +56,7 @@
 
 
 class TestProcesses:
-    async def test_ready_then_serving_then_ended_by_sigterm(self, tmp_path):
+    async def test_servers_get_ready_serve_and_exit_on_sigterm(self, tmp_path):
         ports = find_free_ports(7)
         settings = write_settings(tmp_path, ports[:5])
         control = [f"127.0.0.1:{port}" for port in ports[5:]]
@@ -85,7 +85,7 @@
         assert list(faults.json) == ["scheduler-00-a"]
         assert statuses == [0, 0]
 
-    async def test_settings_that_are_wrong_start_nothing(self, tmp_path):
+    async def test_invalid_settings_are_refused(self, tmp_path):
         file = tmp_path / "bad.jsonc"
         file.write_text("{")
         command = (
@@ -110,7 +110,7 @@
         summary = json.loads(ended.stdout)
         assert (summary["sent"], summary["refused"]) == (5, 5)
 
-    async def test_load_tool_ends_on_sigterm(self, tmp_path):
+    async def test_load_tool_exits_on_sigterm(self, tmp_path):
         settings = write_settings(tmp_path, find_free_ports(5))
         records = tmp_path / "records"
         command = [
--- a/tests/test_standins_readme.py
+++ b/tests/test_standins_readme.py
@@ -1,4 +1,4 @@
-"""The page on the stand-ins: each fault has an example, and each example works."""
+"""The stand-ins' README.md: each fault has an example, and each example is valid."""
 
 import re
 from dataclasses import fields
@@ -17,20 +17,20 @@
 
 
 def list_examples(port: int) -> list[dict[str, Any]]:
-    """Return the bodies that the page's examples post to a control port."""
+    """Return the request bodies of the page's examples for a control port."""
     bodies = re.findall(rf"curl 127\.0\.0\.1:{port}/faults -d '(.*?)'", PAGE, re.S)
     return [msgspec.json.decode(body) for body in bodies]
 
 
 class TestExamples:
-    def test_each_platform_fault_has_one(self):
+    def test_each_platform_fault_has_an_example(self):
         shown: set[str] = set()
         for change in list_examples(7001):
             change_faults(PlatformFaults(), change)
             shown |= change.keys()
         assert shown == {field.name for field in fields(PlatformFaults)}
 
-    def test_each_backend_fault_has_one(self):
+    def test_each_backend_fault_has_an_example(self):
         shown: set[str] = set()
         for by_pattern in list_examples(7101):
             for change in by_pattern.values():
--- a/tests/test_standins_store.py
+++ b/tests/test_standins_store.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's store: its past, and the bounds of what it keeps."""
+"""The platform stand-in's store: reads of the past and the limits of its history."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class TestPast:
-    def test_reads_see_the_store_as_of_a_moment(self):
+    def test_reads_see_the_store_as_of_a_time(self):
         objects = Store()
         for now, value in ((BEFORE_START, b"seed"), (5.0, b"one"), (7.0, b"two")):
             objects.put("a", value, now)
@@ -27,7 +27,7 @@
 
 
 class TestBounds:
-    def test_past_is_forgotten_by_number_and_by_bytes(self):
+    def test_history_is_limited_in_versions_and_bytes(self):
         objects = Store()
         for now in range(store.MAX_OBJECT_VERSIONS + 10):
             objects.put("many", b"", now)
@@ -38,7 +38,7 @@
         assert objects.get("large", 11.0) is None
         assert objects.get("large", 12.0) is not None
 
-    def test_newest_version_is_never_forgotten(self):
+    def test_newest_version_is_never_dropped(self):
         objects = Store()
         objects.put("a", b"x" * (store.MAX_OBJECT_HISTORY_BYTES + 1), 0.0)
         assert objects.get("a", 0.0) is not None
