--- a/standins/store.py
+++ b/standins/store.py
@@ -34,7 +34,7 @@
     """
 
     def __init__(self) -> None:
-        self._objects: dict[str, deque[Entry]] = {}
+        self._past: dict[str, deque[Entry]] = {}
         self._watches: set[tuple[str, trio.CancelScope]] = set()
         self._revisions: deque[tuple[float, int]] = deque(
             [(BEFORE_START, 0)], maxlen=1_024
@@ -46,12 +46,12 @@
 
         Raises StoreFullError.
         """
-        is_new = key not in self._objects
-        if (is_new and len(self._objects) >= MAX_OBJECTS) or self._n_bytes > MAX_BYTES:
+        is_new = key not in self._past
+        if (is_new and len(self._past) >= MAX_OBJECTS) or self._n_bytes > MAX_BYTES:
             raise StoreFullError
         version = self._revisions[-1][1] + 1
         entry = Entry(key=key, version=version, value=value, written_at=now)
-        history = self._objects.setdefault(key, deque())
+        history = self._past.setdefault(key, deque())
         history.append(entry)
         self._n_bytes += len(value)
         self._drop_old_versions(history)
@@ -76,14 +76,14 @@
         Only the last versions of an object are kept, so a read far in the past may
         find none.
         """
-        for entry in reversed(self._objects.get(key, ())):
+        for entry in reversed(self._past.get(key, ())):
             if entry.written_at <= at:
                 return entry
         return None
 
     def list_objects(self, prefix: str, at: float) -> list[Entry]:
         """Return the objects under `prefix` as of a time."""
-        keys = (key for key in self._objects if key.startswith(prefix))
+        keys = (key for key in self._past if key.startswith(prefix))
         entries = (self.get(key, at) for key in keys)
         return [entry for entry in entries if entry is not None]
 
@@ -98,7 +98,7 @@
         """Return the time of the first write under `prefix` after `at`, or None."""
         later = (
             entry.written_at
-            for key, history in self._objects.items()
+            for key, history in self._past.items()
             if key.startswith(prefix)
             for entry in history
             if entry.written_at > at
