--- a/lab/parts.py
+++ b/lab/parts.py
@@ -36,7 +36,12 @@
     encode_settings_object,
     resolve_text,
 )
-from lavendergap.protocol.peer import LENGTH, decode_frame, encode_frame, read_length
+from lavendergap.protocol.peer import (
+    LENGTH_PREFIX,
+    decode_frame,
+    encode_frame,
+    read_length_prefix,
+)
 from lavendergap.protocol.resolved import decode_settings, encode_settings
 from lavendergap.state.outcome import Answered
 from lavendergap.state.settings import Address, WaitForCoverage
@@ -135,8 +140,8 @@
 def pass_through_codec(message: Message) -> None:
     """Encode and decode one message, as its sender and its receiver do."""
     frame = encode_frame(Frame(id=1, message=message))
-    _, is_packed = read_length(frame, 0)
-    decode_frame(frame[LENGTH.size :], is_packed=is_packed)
+    _, is_packed = read_length_prefix(frame, 0)
+    decode_frame(frame[LENGTH_PREFIX.size :], is_packed=is_packed)
 
 
 def measure_codec(make: Callable[[int], Message]) -> Points:
--- a/src/lavendergap/commands/explain.py
+++ b/src/lavendergap/commands/explain.py
@@ -7,8 +7,8 @@
 import click
 
 from ..errors import LavendergapError
-from ..protocol.account import Account, End
 from ..protocol.loglines import LogLine, read_line
+from ..protocol.requeststats import End, RequestStats
 from .console import print_json, print_note, print_table
 from .options import json_option
 
@@ -51,21 +51,21 @@
     if content is not None:
         _show_lines(logs, "content", content, as_json=as_json)
         return
-    account = Account()
+    stats = RequestStats()
     for line in _read(logs):
         if line is None:
-            account.note_bad()
+            stats.count_bad_line()
         else:
-            account.note(line)
-    if not account.routes:
+            stats.count_line(line)
+    if not stats.routes:
         raise LavendergapError(
-            f"no request has ended in {account.n_lines} lines, {account.n_bad} others; "
-            "are these the logs of gateway hosts?"
+            f"no request has ended in {stats.n_lines} lines, "
+            f"{stats.n_bad_lines} others; are these the logs of gateway hosts?"
         )
     if as_json:
-        print_json(_describe(account))
+        print_json(_describe(stats))
     else:
-        _print(account)
+        _print(stats)
 
 
 def _read(logs: tuple[Any, ...]) -> Iterator[LogLine | None]:
@@ -109,10 +109,10 @@
     return " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in known)
 
 
-def _describe(account: Account) -> dict[str, Any]:
+def _describe(stats: RequestStats) -> dict[str, Any]:
     return {
-        "n_lines": account.n_lines,
-        "n_bad_lines": account.n_bad,
+        "n_lines": stats.n_lines,
+        "n_bad_lines": stats.n_bad_lines,
         "routes": {
             name: {
                 "asked": route.n_asked,
@@ -122,23 +122,23 @@
                 "p99_ms": route.get_quantile_ms(0.99),
                 "causes": dict(route.causes.most_common()),
             }
-            for name, route in sorted(account.routes.items())
+            for name, route in sorted(stats.routes.items())
         },
         "worst_seconds": {
             at: {
                 "asked": second.n_asked,
                 "lost": second.n_lost,
-                "beliefs": dict(second.beliefs.most_common()),
+                "beliefs": dict(second.events.most_common()),
             }
-            for at, second in account.list_worst_seconds(N_SECONDS_SHOWN)
+            for at, second in stats.list_worst_seconds(N_SECONDS_SHOWN)
         },
     }
 
 
-def _print(account: Account) -> None:
+def _print(stats: RequestStats) -> None:
     rows = []
     causes = []
-    for name, route in sorted(account.routes.items()):
+    for name, route in sorted(stats.routes.items()):
         ends = [route.ends[end] for end in End]
         quantiles = (route.get_quantile_ms(0.5), route.get_quantile_ms(0.99))
         rows.append((name, route.n_asked, *ends, route.n_partial, *quantiles))
@@ -152,14 +152,14 @@
             at,
             second.n_asked,
             second.n_lost,
-            _format_changes(second.beliefs.most_common(4)),
+            _format_changes(second.events.most_common(4)),
         )
-        for at, second in account.list_worst_seconds(N_SECONDS_SHOWN)
+        for at, second in stats.list_worst_seconds(N_SECONDS_SHOWN)
     ]
     if seconds:
         print_table(("WORST SECONDS", "ASKED", "LOST", "BELIEFS THAT CHANGED"), seconds)
-    if account.n_bad:
-        print_note(f"{account.n_bad} lines were no log lines")
+    if stats.n_bad_lines:
+        print_note(f"{stats.n_bad_lines} lines were no log lines")
 
 
 def _format_changes(beliefs: list[tuple[str, int]]) -> str:
--- a/src/lavendergap/coordination/joining.py
+++ b/src/lavendergap/coordination/joining.py
@@ -6,7 +6,7 @@
 from ..state.outcome import (
     Answered,
     Coverage,
-    Missing,
+    MissingShard,
     NotRun,
     Outcome,
     Reason,
@@ -91,7 +91,7 @@
         self.n_ignored = 0
         self._pending: dict[str, Shard] = {s.name: s for s in snapshot.shards}
         self._answers: dict[str, bytes] = {}
-        self._missing: dict[str, Missing] = {}
+        self._missing: dict[str, MissingShard] = {}
         self._answer_times: list[float] = []
         self._share = 0.0
         self._lost_share = 0.0
@@ -172,10 +172,12 @@
     def _record_missing(
         self, shard: str, reason: Reason, step: Step, peer: str
     ) -> None:
-        self._missing[shard] = Missing(shard=shard, reason=reason, step=step, peer=peer)
+        self._missing[shard] = MissingShard(
+            shard=shard, reason=reason, step=step, peer=peer
+        )
 
-    def _make_straggler(self, shard: Shard) -> Missing:
-        return Missing(
+    def _make_straggler(self, shard: Shard) -> MissingShard:
+        return MissingShard(
             shard=shard.name,
             reason=Reason.STRAGGLER,
             step=Step.RECEIVE,
--- a/src/lavendergap/entry/bookings.py
+++ b/src/lavendergap/entry/bookings.py
@@ -22,7 +22,7 @@
 from ..coordination.witness import Witness
 from ..logs import log_decision
 from ..protocol.answers import Refusal, name_outcome
-from ..protocol.messages import BadFrameError, TicketAsk, TicketReply
+from ..protocol.messages import BadFrameError, TicketReply, TicketRequest
 from ..protocol.tickets import (
     ASK,
     PING,
@@ -214,7 +214,7 @@
         if ticket.issuer == self._peer:
             return await self._run_here(ticket, body, deadline)
         left = max(0.0, deadline - trio.current_time())
-        ask = TicketAsk(
+        ask = TicketRequest(
             verb=RUN, ticket=str(ticket), body=body, left_ms=int(left * 1_000)
         )
         # The issuer answers by the deadline; its reply may arrive a little later.
@@ -394,18 +394,18 @@
     async def _ask_issuer(self, ticket: Ticket) -> IssuerReply:
         if ticket.issuer == self._peer:
             return self._issuer.ask(ticket, now=trio.current_time())
-        ask = TicketAsk(verb=ASK, ticket=str(ticket))
+        ask = TicketRequest(verb=ASK, ticket=str(ticket))
         return _expect_issuer_reply(
             await self._client.ask(ticket.issuer, ask, limit=ASK_LIMIT_S)
         )
 
     # For peers.
 
-    async def answer(self, ask: TicketAsk) -> TicketReply:
+    async def answer(self, ask: TicketRequest) -> TicketReply:
         """Answer a peer's message about a ticket."""
         return encode_reply(await self._answer(ask))
 
-    async def _answer(self, ask: TicketAsk) -> Reply:
+    async def _answer(self, ask: TicketRequest) -> Reply:
         now = trio.current_time()
         try:
             if ask.verb in WITNESS_VERBS:
--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -9,7 +9,7 @@
 from ..coordination.membership import Membership
 from ..coordination.registration import is_to_register
 from ..logs import log_decision
-from ..state.feeds import FeedEntry, FeedListing, StoreLost
+from ..state.feeds import FeedEntry, FeedListing, StoreUnavailable
 from ..state.hostfile import GatewayHost
 from ..transport.dialer import Dialer
 from .adapter import HOSTS_FEED, Adapter
@@ -86,11 +86,11 @@
 
     async def _list_hosts(self) -> None:
         """List the registered hosts and contact them."""
-        match await self._adapter.source.list_feed(HOSTS_FEED, may_lag=True):
+        match await self._adapter.source.list_feed(HOSTS_FEED, allow_stale=True):
             case FeedListing(entries=entries):
                 for entry in entries:
                     self._join(entry)
-            case StoreLost(step=step, reason=reason):
+            case StoreUnavailable(step=step, reason=reason):
                 log_decision(
                     logger,
                     "store lost",
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -28,7 +28,7 @@
 from ..protocol.objects import (
     decode_index_object,
     decode_settings_object,
-    make_first_index,
+    make_default_index,
     make_settings_key,
     read_settings,
 )
@@ -311,7 +311,7 @@
             name = INDEX_PREFIX + service.name
             held = self._documents.get(name)
             if held is None:
-                published.append(make_first_index(service))
+                published.append(make_default_index(service))
             else:
                 published.append(_decode_index(name, held.body, held.version))
         return published
--- a/src/lavendergap/entry/feedpeers.py
+++ b/src/lavendergap/entry/feedpeers.py
@@ -15,7 +15,7 @@
     may_stay,
 )
 from ..coordination.watchers import choose_watch_holders
-from ..protocol.messages import FeedFetch, FeedNews, FeedState, Frame, Struck
+from ..protocol.messages import FeedFetch, FeedState, FeedUpdate, Frame, StrikeReport
 from ..state.quarantine import Strike
 from ..transport.channel import Loss
 from ..transport.dialer import Dialer
@@ -71,7 +71,7 @@
             return False
         return leads_place(self._own_name, self._membership.places())
 
-    def announce(self, update: FeedNews) -> None:
+    def announce(self, update: FeedUpdate) -> None:
         """Send an update to all live hosts, without acknowledgement.
 
         A host that misses it gets the next one, or asks the store itself. A host that
@@ -91,7 +91,7 @@
             message = near if receiver.is_near else far
             self._send(receiver.host, replace(message, passes_on=receiver.passes_on))
 
-    def relay(self, update: FeedNews) -> None:
+    def relay(self, update: FeedUpdate) -> None:
         """Forward an update to the other hosts of this data centre."""
         message = _strip_changes(update, is_whole=may_stay(update.changes))
         message = replace(message, passes_on=False)
@@ -108,22 +108,24 @@
         """Send a strike to all live hosts, without waiting for the store."""
         places = self._membership.places()
         for receiver in choose_receivers(self._own_name, places):
-            struck = Struck(strike=strike, passes_on=receiver.passes_on)
-            self._send(receiver.host, struck)
+            report = StrikeReport(strike=strike, passes_on=receiver.passes_on)
+            self._send(receiver.host, report)
 
     def relay_strike(self, strike: Strike) -> None:
         """Forward another host's strike to the other hosts of this data centre."""
         for host in list_neighbours(self._own_name, self._membership.places()):
-            self._send(host, Struck(strike=strike, passes_on=False))
+            self._send(host, StrikeReport(strike=strike, passes_on=False))
 
-    def _send(self, host: str, message: FeedNews | Struck) -> None:
+    def _send(self, host: str, message: FeedUpdate | StrikeReport) -> None:
         channel = self._dialer.get_open(host)
         if channel is not None:
             channel.send(Frame(id=0, message=message))
         else:
             self._nursery.start_soon(self._dial_and_send, host, message)
 
-    async def _dial_and_send(self, host: str, message: FeedNews | Struck) -> None:
+    async def _dial_and_send(
+        self, host: str, message: FeedUpdate | StrikeReport
+    ) -> None:
         address = self._fleet.get_address(host)
         if address is None:
             return
@@ -167,6 +169,6 @@
         return sorted(self._membership.live() - {self._own_name})
 
 
-def _strip_changes(update: FeedNews, *, is_whole: bool) -> FeedNews:
+def _strip_changes(update: FeedUpdate, *, is_whole: bool) -> FeedUpdate:
     """Return the update, or one without changes that announces its revision only."""
     return update if is_whole else replace(update, base=update.revision, changes=())
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -17,15 +17,15 @@
 from .. import metrics
 from ..coordination.feeds import N_BUCKETS, FeedCopy, Summarize
 from ..logs import Category, get_logger, log_decision
-from ..protocol.messages import FeedNews, FeedState
+from ..protocol.messages import FeedState, FeedUpdate
 from ..state.feeds import (
     FeedChange,
     FeedChanges,
     FeedEntry,
     FeedListing,
     FeedSource,
-    HistoryGone,
-    StoreLost,
+    HistoryExpired,
+    StoreUnavailable,
 )
 
 logger = get_logger(Category.SETTINGS)
@@ -92,7 +92,7 @@
     def is_near(self, host: str) -> bool:
         """Return whether `host` is in the data centre of this one."""
 
-    def announce(self, update: FeedNews) -> None:
+    def announce(self, update: FeedUpdate) -> None:
         """Send an update to all live hosts, or to those that this host watches for."""
 
     async def fetch(
@@ -141,28 +141,28 @@
         # When all hosts start together, reading a lagging replica is far cheaper for
         # the store, and the next update or watch shows what is missing. After the
         # history is gone, a replica may be older than the store's remaining history.
-        may_lag = True
+        allow_stale = True
         while True:
-            await self._list(may_lag=may_lag)
+            await self._list(allow_stale=allow_stale)
             await self._follow()
-            may_lag = False
+            allow_stale = False
 
     # From the store.
 
-    async def _list(self, *, may_lag: bool) -> None:
+    async def _list(self, *, allow_stale: bool) -> None:
         """List the feed, or fetch it from a peer while the store does not answer."""
         while True:
-            match await self._source.list_feed(self.feed, may_lag=may_lag):
+            match await self._source.list_feed(self.feed, allow_stale=allow_stale):
                 case FeedListing() as listing:
                     self._record_answer()
                     before = self.copy.revision
                     has_changed = self._apply_listing(listing, "store")
-                    if not may_lag:
+                    if not allow_stale:
                         # The others fetch what this host missed with the history.
                         base = self.copy.revision if has_changed else before
                         self._announce(base=base, changes=())
                     return
-                case StoreLost() as lost:
+                case StoreUnavailable() as lost:
                     await self._handle_loss(lost)
                     if not self.is_loaded:
                         await self._fetch(None)
@@ -201,7 +201,7 @@
                         await trio.sleep(
                             STARTUP_PAUSE_S if is_leading else BATCHING_PAUSE_S
                         )
-                case HistoryGone():
+                case HistoryExpired():
                     self._record_answer()
                     log_decision(
                         logger,
@@ -211,7 +211,7 @@
                         revision=base,
                     )
                     return
-                case StoreLost() as lost:
+                case StoreUnavailable() as lost:
                     await self._handle_loss(lost)
 
     async def _wait_for_update(self, is_starting: bool) -> None:
@@ -247,7 +247,7 @@
 
     def _announce(self, *, base: int, changes: tuple[FeedChange, ...]) -> None:
         self._peers.announce(
-            FeedNews(
+            FeedUpdate(
                 feed=self.feed,
                 base=base,
                 revision=self.copy.revision,
@@ -271,7 +271,7 @@
         self._n_failures = 0
         self._confirmed_at = now
 
-    async def _handle_loss(self, lost: StoreLost) -> None:
+    async def _handle_loss(self, lost: StoreUnavailable) -> None:
         self._n_failures += 1
         metrics.store_losses.labels(self.feed, lost.reason.value).inc()
         if self._n_failures == 1:
@@ -294,7 +294,7 @@
 
     def receive(
         self,
-        update: FeedNews,
+        update: FeedUpdate,
         *,
         host: str,
         on_applied: Callable[[], None] = _do_nothing,
@@ -315,7 +315,7 @@
             self._is_catching_up = True
             self._nursery.start_soon(self._catch_up, update, host, on_applied)
 
-    def _apply_update(self, update: FeedNews, host: str) -> bool:
+    def _apply_update(self, update: FeedUpdate, host: str) -> bool:
         """Apply an update; return whether the copy needs nothing more from it."""
         if not self.is_loaded:
             return False
@@ -342,7 +342,7 @@
         return is_equal
 
     async def _catch_up(
-        self, update: FeedNews, host: str, on_applied: Callable[[], None]
+        self, update: FeedUpdate, host: str, on_applied: Callable[[], None]
     ) -> None:
         """Get what an update lacks: from a near sender, the store, then a far sender.
 
@@ -365,7 +365,7 @@
             self._is_catching_up = False
             on_applied()
 
-    async def _ask_store(self, update: FeedNews) -> bool:
+    async def _ask_store(self, update: FeedUpdate) -> bool:
         """Apply newer changes of the store; return whether they match the update."""
         base = self.copy.revision
         answer = await self._source.watch_feed(self.feed, after=base, wait_s=0.0)
@@ -376,7 +376,7 @@
             self._report_change("store")
         return self._matches(update)
 
-    def _matches(self, update: FeedNews) -> bool:
+    def _matches(self, update: FeedUpdate) -> bool:
         copy = self.copy
         return copy.revision > update.revision or copy.fingerprint == update.fingerprint
 
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -22,8 +22,8 @@
 from ..protocol.messages import (
     Frame,
     Hello,
-    TicketAsk,
     TicketReply,
+    TicketRequest,
 )
 from ..state.hostfile import GatewayHost, read_host_file
 from ..state.member import Member
@@ -64,7 +64,7 @@
 # The balancer checks readiness each second and removes a host after two failures; until
 # then it still sends callers here.
 LEAVE_NOTICE_S = 2.6
-# The part of `stop_within` that is reserved for closing the ports.
+# The part of `stop_within_s` that is reserved for closing the ports.
 STOP_RESERVE_S = 0.8
 DRAIN_CHECK_INTERVAL_S = 0.05
 SWEEP_INTERVAL_S = 1.0
@@ -236,7 +236,7 @@
             active_config=self._active_config,
             quarantine=self._quarantine,
             channels=feed_peers,
-            has_evacuations=host.bounds.evacuate is not None,
+            has_evacuations=host.bounds.evacuate_within_s is not None,
             random=self._random,
             nursery=nursery,
         )
@@ -325,7 +325,7 @@
             budget=ExtraCallBudget(
                 share=bounds.extra_call_share,
                 slack=bounds.extra_call_slack,
-                window_s=bounds.extra_call_window,
+                window_s=bounds.extra_call_window_s,
             ),
             n_hosts=max(1, len(self._membership.live())),
             evacuated=self._active_config.evacuated,
@@ -420,12 +420,12 @@
         Announces the stop to the balancer and the peers and serves callers until both
         have noticed; then finishes running requests and closes the ports.
         """
-        stop_at = trio.current_time() + self._host.bounds.stop_within - STOP_RESERVE_S
+        stop_at = trio.current_time() + self._host.bounds.stop_within_s - STOP_RESERVE_S
         self._is_leaving = True
         log_decision(logger, "leaving", request_id=None, host=self._host.name)
         self._acceptor.announce_leaving()
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
-        await trio.sleep(min(LEAVE_NOTICE_S, self._host.bounds.stop_within / 2))
+        await trio.sleep(min(LEAVE_NOTICE_S, self._host.bounds.stop_within_s / 2))
         with trio.move_on_at(stop_at):
             while self._callers.n_running or self._owner.is_busy:
                 await trio.sleep(DRAIN_CHECK_INTERVAL_S)
@@ -437,6 +437,6 @@
         log_decision(logger, "stopped", request_id=None, host=self._host.name)
 
 
-async def _refuse_ticket(ask: TicketAsk) -> TicketReply:
+async def _refuse_ticket(ask: TicketRequest) -> TicketReply:
     """Return the reply to any ticket request: gateway hosts issue no tickets."""
     return TicketReply(verdict="unknown")
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -23,7 +23,7 @@
 from ..coordination.hedging import KindLatencies
 from ..coordination.scheduler import GroupScheduler
 from ..logs import log_decision
-from ..protocol.leaf import Verdict
+from ..protocol.backend import Verdict
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown, is_server_end
 from ..state.settings import Group, Server, Service, Settings
 from ..transport.backend import BackendClient
--- a/src/lavendergap/entry/hostfeeds.py
+++ b/src/lavendergap/entry/hostfeeds.py
@@ -6,7 +6,7 @@
 import trio
 
 from ..coordination.feeds import use_whole
-from ..protocol.messages import FeedFetch, FeedNews, FeedState, Struck
+from ..protocol.messages import FeedFetch, FeedState, FeedUpdate, StrikeReport
 from .adapter import (
     EVACUATIONS_FEED,
     ROUTES_FEED,
@@ -106,7 +106,7 @@
 
     # Peers.
 
-    def receive(self, update: FeedNews, *, host: str) -> None:
+    def receive(self, update: FeedUpdate, *, host: str) -> None:
         """Apply a peer's update; forward it if it is for this data centre's hosts."""
         reader = self._readers.get(update.feed)
         if reader is None:
@@ -118,11 +118,11 @@
         else:
             reader.receive(update, host=host)
 
-    def receive_strike(self, struck: Struck) -> None:
+    def receive_strike(self, report: StrikeReport) -> None:
         """Apply a peer's strike; forward it if it is for this data centre's hosts."""
-        self._quarantine.receive(struck.strike)
-        if struck.passes_on:
-            self._channels.relay_strike(struck.strike)
+        self._quarantine.receive(report.strike)
+        if report.passes_on:
+            self._channels.relay_strike(report.strike)
 
     def make_state(self, fetch: FeedFetch) -> FeedState:
         """Return this host's copy of a feed; an empty state for an unknown feed."""
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -15,18 +15,18 @@
     Cancel,
     Document,
     FeedFetch,
-    FeedNews,
     FeedState,
+    FeedUpdate,
     Fetch,
     Frame,
-    Greatest,
-    Ran,
+    GreatestOptions,
     Run,
+    RunOutcome,
     Search,
     ShardAnswer,
-    Struck,
-    TicketAsk,
+    StrikeReport,
     TicketReply,
+    TicketRequest,
 )
 from ..state.outcome import Answered, is_server_end
 from ..transport.channel import Channel
@@ -60,13 +60,13 @@
 class FeedService(Protocol):
     """The operations on this host's feeds that peers request."""
 
-    def receive(self, update: FeedNews, *, host: str) -> None:
+    def receive(self, update: FeedUpdate, *, host: str) -> None:
         """Apply a peer's update."""
 
     def make_state(self, fetch: FeedFetch) -> FeedState:
         """Return this host's copy of a feed, or the parts that differ."""
 
-    def receive_strike(self, struck: Struck) -> None:
+    def receive_strike(self, report: StrikeReport) -> None:
         """Apply a peer's strike."""
 
 
@@ -79,7 +79,7 @@
         owner: Owner,
         documents: Documents,
         nursery: trio.Nursery,
-        answer_ticket: Callable[[TicketAsk], Awaitable[TicketReply]],
+        answer_ticket: Callable[[TicketRequest], Awaitable[TicketReply]],
         feeds: FeedService | None = None,
     ) -> None:
         self._feeds = feeds
@@ -100,18 +100,18 @@
                 self._run(channel, frame.id, run)
             case Fetch() as fetch:
                 self._fetch(channel, frame.id, fetch)
-            case TicketAsk() as ask:
+            case TicketRequest() as ask:
                 self._nursery.start_soon(
                     self._answer_ticket_request, channel, frame.id, ask
                 )
-            case FeedNews() as update if self._feeds is not None:
+            case FeedUpdate() as update if self._feeds is not None:
                 if channel.peer is not None:
                     self._feeds.receive(update, host=channel.peer.host)
             case FeedFetch() as fetch if self._feeds is not None:
                 state = self._feeds.make_state(fetch)
                 channel.send(Frame(id=frame.id, message=state))
-            case Struck() as struck if self._feeds is not None:
-                self._feeds.receive_strike(struck)
+            case StrikeReport() as report if self._feeds is not None:
+                self._feeds.receive_strike(report)
             case _:
                 metrics.rejected_input.labels("peers", "unexpected message").inc()
 
@@ -227,7 +227,7 @@
         )
 
         def finish(end: FinishCall, versions: tuple[int, ...]) -> None:
-            ran = Ran(server=end.server, outcome=end.outcome)
+            ran = RunOutcome(server=end.server, outcome=end.outcome)
             channel.send(Frame(id=frame_id, message=ran))
 
         self._owner.submit([Wanted(call=call, finish=finish)])
@@ -240,13 +240,13 @@
         channel.send(Frame(id=frame_id, message=reply))
 
     async def _answer_ticket_request(
-        self, channel: Channel, frame_id: int, ask: TicketAsk
+        self, channel: Channel, frame_id: int, ask: TicketRequest
     ) -> None:
         reply = await self._answer_ticket(ask)
         channel.send(Frame(id=frame_id, message=reply))
 
 
-def _read_data_centres(greatest: Greatest | None) -> frozenset[str] | None:
+def _read_data_centres(greatest: GreatestOptions | None) -> frozenset[str] | None:
     if greatest is None or not greatest.data_centres:
         return None
     return frozenset(greatest.data_centres)
--- a/src/lavendergap/entry/runs.py
+++ b/src/lavendergap/entry/runs.py
@@ -3,8 +3,8 @@
 import trio
 
 from ..coordination.calls import Call, FinishCall
-from ..protocol.messages import Ran
 from ..protocol.messages import Run as RunMessage
+from ..protocol.messages import RunOutcome
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Group, Service, Settings
 from ..state.ticket import Ticket
@@ -111,7 +111,7 @@
             body=call.body,
         )
         reply = await channel.ask(message, limit=left + REPLY_GRACE_S)
-        if isinstance(reply, Ran):
+        if isinstance(reply, RunOutcome):
             return reply.outcome
         return Unknown(step=Step.RECEIVE, peer=host, reason=Reason.LOST_CONNECTION)
 
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -16,12 +16,12 @@
 from ..coordination.records import merge_greatest
 from ..logs import log_decision
 from ..protocol.answers import Refusal, SearchResult, ShardResult
-from ..protocol.forwarding import JoinedRecords
+from ..protocol.forwarding import MergedRecords
 from ..protocol.messages import (
     Answers,
     Cancel,
     Frame,
-    Greatest,
+    GreatestOptions,
     Message,
     Search,
     ShardAnswer,
@@ -188,7 +188,7 @@
         await self._search_and_cancel()
         return self._conclude()
 
-    async def run_greatest(self, after: ExitStack) -> JoinedRecords | NotRun | Unknown:
+    async def run_greatest(self, after: ExitStack) -> MergedRecords | NotRun | Unknown:
         """Do the same, for the greatest records of all shards together.
 
         Open calls are cancelled by a callback on `after`, once the caller has its
@@ -411,12 +411,12 @@
             ),
         )
 
-    def _make_greatest(self, sub_query: SubQuery) -> Greatest | None:
+    def _make_greatest(self, sub_query: SubQuery) -> GreatestOptions | None:
         greatest = self._query.greatest
         if greatest is None:
             return None
         left = greatest.goal - trio.current_time()
-        return Greatest(
+        return GreatestOptions(
             request=greatest.request,
             n_wanted=greatest.n_wanted,
             goal_ms=max(0, int(left * 1_000)),
@@ -652,7 +652,7 @@
             ),
         )
 
-    def _conclude_greatest(self) -> JoinedRecords | NotRun | Unknown:
+    def _conclude_greatest(self) -> MergedRecords | NotRun | Unknown:
         greatest = self._query.greatest
         assert greatest is not None
         coverage = self._join.coverage()
@@ -663,12 +663,12 @@
         is_consistent = coverage.n_answered == len(self._proofs)
         is_enough = coverage.share + ROUNDING >= policy.min_share
         if self._proofs and is_consistent and is_enough:
-            return JoinedRecords(
+            return MergedRecords(
                 records=merge_greatest(self._records, n_wanted=greatest.n_wanted),
                 # A copy, as answers arrive until the open calls are cancelled.
                 proofs=self._proofs.copy(),
                 coverage=coverage,
-                cut_at=self._cut_at,
+                wait_ends_at=self._cut_at,
             )
         # Open calls are cancelled only after the answer, and may run until then.
         is_open = any(sub_query.open_shards for sub_query in self._sub_queries)
--- a/src/lavendergap/entry/ticketclient.py
+++ b/src/lavendergap/entry/ticketclient.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ..protocol.messages import BadFrameError, Message, TicketAsk, TicketReply
+from ..protocol.messages import BadFrameError, Message, TicketReply, TicketRequest
 from ..protocol.tickets import PING, Reply, decode_reply
 from ..state.ticket import Peer
 from ..transport.channel import Channel, Loss
@@ -87,12 +87,14 @@
         if channel.has_received_since(trio.current_time() - TRUSTED_IDLE_S):
             return channel
         left = give_up_at - trio.current_time()
-        reply = await self._exchange(channel, TicketAsk(verb=PING, ticket=""), left)
+        reply = await self._exchange(channel, TicketRequest(verb=PING, ticket=""), left)
         if isinstance(reply, Loss) or not channel.is_open:
             return None
         return channel
 
-    async def ask(self, peer: Peer, ask: TicketAsk, *, limit: float) -> Reply | NoReply:
+    async def ask(
+        self, peer: Peer, ask: TicketRequest, *, limit: float
+    ) -> Reply | NoReply:
         """Send a message to one incarnation of a host and return its reply."""
         if peer.host == self._own.host:
             return NoReply.REPLACED
@@ -112,7 +114,7 @@
         return NoReply.LOST
 
     async def _exchange(
-        self, channel: Channel, ask: TicketAsk, limit: float
+        self, channel: Channel, ask: TicketRequest, limit: float
     ) -> Message | Loss:
         if limit <= 0 or not channel.is_open:
             return Loss.SILENT
@@ -127,7 +129,7 @@
 
     async def _verify(self, channel: Channel) -> None:
         try:
-            await channel.ask(TicketAsk(verb=PING, ticket=""), limit=VERIFY_LIMIT_S)
+            await channel.ask(TicketRequest(verb=PING, ticket=""), limit=VERIFY_LIMIT_S)
         finally:
             self._verifying.discard(channel)
 
--- a/src/lavendergap/protocol/leaf.py
+++ b/src/lavendergap/protocol/backend.py
@@ -58,7 +58,7 @@
     return headers
 
 
-def judge_reply(reply: Reply, call: Call, *, attempt: bytes, server: str) -> Verdict:
+def check_reply(reply: Reply, call: Call, *, attempt: bytes, server: str) -> Verdict:
     """Return the outcome that the reply proves; missing headers are not assumed."""
     if reply.status == 200:
         outcome = _check_answer(reply, call, attempt=attempt, server=server)
--- a/src/lavendergap/protocol/forwarding.py
+++ b/src/lavendergap/protocol/forwarding.py
@@ -14,7 +14,7 @@
 from ..coordination.calls import ServerReport
 from ..state.forwarding import ForwardedRequest, Headers
 from ..state.outcome import Answered, Coverage, NotRun, Outcome, Reason, Step, Unknown
-from .leaf import Reply, Verdict
+from .backend import Reply, Verdict
 
 # Not forwarded (RFC 9110, 7.6.1). Content-Length is set anew for the body sent.
 HOP_BY_HOP_HEADERS = frozenset(
@@ -63,18 +63,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class JoinedRecords:
+class MergedRecords:
     """The greatest records of the shards that `coverage` counts as answered.
 
     `proofs` holds, by shard, the proof headers that the shard's server sent with its
-    part. `cut_at` is the time on the event loop's clock at which the wait for
+    part. `wait_ends_at` is the time on the event loop's clock at which the wait for
     stragglers was to end; None if there was nothing left to wait for.
     """
 
     records: bytes
     proofs: dict[str, Headers]
     coverage: Coverage
-    cut_at: float | None = None
+    wait_ends_at: float | None = None
 
 
 def keep_end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
@@ -131,7 +131,7 @@
     return rendered.removesuffix(b"\r\n")
 
 
-def judge_forwarded(
+def check_forwarded_reply(
     reply: Reply,
     request: ForwardedRequest,
     *,
--- a/src/lavendergap/protocol/messages.py
+++ b/src/lavendergap/protocol/messages.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Greatest:
+class GreatestOptions:
     """Asks for the greatest records of all shards, merged, not for each shard's answer.
 
     `request` is forwarded to the backend servers unchanged. `goal_ms` is the time until
@@ -85,7 +85,7 @@
     left_ms: int
     body: bytes
     shards: tuple[ShardRef, ...]
-    greatest: Greatest | None = None
+    greatest: GreatestOptions | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ran:
+class RunOutcome:
     """The outcome of a Run."""
 
     server: str
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TicketAsk:
+class TicketRequest:
     """A request about one ticket; `verb` names its kind, see `protocol.tickets`."""
 
     verb: str
@@ -166,14 +166,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TicketReply:
-    """The reply to a TicketAsk, with the outcome if one is known."""
+    """The reply to a TicketRequest, with the outcome if one is known."""
 
     verdict: str
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class FeedNews:
+class FeedUpdate:
     """Changes of a feed that the sender has just read from the store; no reply.
 
     `changes` are all changes between the revisions `base` and `revision`. If it is
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Struck:
+class StrikeReport:
     """A strike that the sender observed; no reply.
 
     Sent directly, since the caller's retry may reach another host milliseconds later,
@@ -237,15 +237,15 @@
     | Answers
     | Cancel
     | Run
-    | Ran
+    | RunOutcome
     | Fetch
     | Document
-    | TicketAsk
+    | TicketRequest
     | TicketReply
-    | FeedNews
+    | FeedUpdate
     | FeedFetch
     | FeedState
-    | Struck
+    | StrikeReport
 )
 
 
--- a/src/lavendergap/protocol/objects.py
+++ b/src/lavendergap/protocol/objects.py
@@ -183,7 +183,7 @@
     return _ENCODER.encode(_Index(snapshots=snapshots))
 
 
-def make_first_index(service: Service) -> Published:
+def make_default_index(service: Service) -> Published:
     """Return the index used until an indexer has published one.
 
     It has a shard for each group, with equal shares. It is version 1 of the index, at
--- a/src/lavendergap/protocol/packing.py
+++ b/src/lavendergap/protocol/packing.py
@@ -18,14 +18,14 @@
     Answers,
     BadFrameError,
     FeedFetch,
-    FeedNews,
     FeedState,
+    FeedUpdate,
     Frame,
-    Greatest,
+    GreatestOptions,
     Search,
     ShardAnswer,
     ShardRef,
-    Struck,
+    StrikeReport,
 )
 
 
@@ -87,7 +87,7 @@
     records: bytes = b""
 
 
-class _PackedNews(msgspec.Struct, array_like=True, tag=3):
+class _PackedFeedUpdate(msgspec.Struct, array_like=True, tag=3):
     id: int
     feed: str
     base: int
@@ -115,7 +115,7 @@
     buckets: tuple[int, ...] | None = None
 
 
-class _PackedStruck(msgspec.Struct, array_like=True, tag=6):
+class _PackedStrikeReport(msgspec.Struct, array_like=True, tag=6):
     id: int
     name: str
     content: str
@@ -128,10 +128,10 @@
 _Packed = (
     _PackedSearch
     | _PackedAnswers
-    | _PackedNews
+    | _PackedFeedUpdate
     | _PackedFetch
     | _PackedState
-    | _PackedStruck
+    | _PackedStrikeReport
 )
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(_Packed).decode
@@ -176,7 +176,7 @@
     return _encode(_PackedAnswers(frame_id, packed, answers.records))
 
 
-def _pack_greatest(greatest: Greatest | None) -> _PackedGreatest | None:
+def _pack_greatest(greatest: GreatestOptions | None) -> _PackedGreatest | None:
     if greatest is None:
         return None
     request = greatest.request
@@ -194,10 +194,10 @@
     )
 
 
-def _unpack_greatest(packed: _PackedGreatest | None) -> Greatest | None:
+def _unpack_greatest(packed: _PackedGreatest | None) -> GreatestOptions | None:
     if packed is None:
         return None
-    return Greatest(
+    return GreatestOptions(
         request=ForwardedRequest(
             method=packed.method,
             target=packed.target,
@@ -213,18 +213,18 @@
     )
 
 
-def pack_news(frame_id: int, news: FeedNews) -> bytes:
-    """Return the bytes of FeedNews, without the length prefix."""
-    changes, deflated = _deflate(news.changes)
+def pack_feed_update(frame_id: int, update: FeedUpdate) -> bytes:
+    """Return the bytes of FeedUpdate, without the length prefix."""
+    changes, deflated = _deflate(update.changes)
     return _encode(
-        _PackedNews(
+        _PackedFeedUpdate(
             frame_id,
-            news.feed,
-            news.base,
-            news.revision,
+            update.feed,
+            update.base,
+            update.revision,
             changes,
-            news.fingerprint,
-            news.passes_on,
+            update.fingerprint,
+            update.passes_on,
             deflated,
         )
     )
@@ -259,18 +259,18 @@
     return zlib.compress(_encode([(entry.name, entry.body) for entry in entries]), 1)
 
 
-def pack_struck(frame_id: int, struck: Struck) -> bytes:
+def pack_strike_report(frame_id: int, report: StrikeReport) -> bytes:
     """Return the bytes of a Struck, without the length prefix."""
-    strike = struck.strike
+    strike = report.strike
     return _encode(
-        _PackedStruck(
+        _PackedStrikeReport(
             frame_id,
             strike.name,
             strike.content,
             strike.host,
             strike.servers,
             strike.is_trial,
-            struck.passes_on,
+            report.passes_on,
         )
     )
 
@@ -279,7 +279,7 @@
     """Return the frame in `body`, or raise `BadFrameError`."""
     try:
         packed = _decode(body)
-        if isinstance(packed, _PackedNews) and packed.deflated:
+        if isinstance(packed, _PackedFeedUpdate) and packed.deflated:
             packed.changes = _decode_changes(_inflate(packed.deflated))
         elif isinstance(packed, _PackedState) and packed.deflated:
             packed.entries = _decode_entries(_inflate(packed.deflated))
@@ -290,14 +290,14 @@
             return Frame(id=packed.id, message=_unpack_search(packed))
         case _PackedAnswers():
             return Frame(id=packed.id, message=_unpack_answers(packed))
-        case _PackedNews():
-            return Frame(id=packed.id, message=_unpack_news(packed))
+        case _PackedFeedUpdate():
+            return Frame(id=packed.id, message=_unpack_feed_update(packed))
         case _PackedFetch(id=frame_id, feed=feed, hashes=hashes):
             return Frame(id=frame_id, message=FeedFetch(feed=feed, hashes=hashes))
         case _PackedState():
             return Frame(id=packed.id, message=_unpack_state(packed))
-        case _PackedStruck():
-            return Frame(id=packed.id, message=_unpack_struck(packed))
+        case _PackedStrikeReport():
+            return Frame(id=packed.id, message=_unpack_strike_report(packed))
 
 
 def _inflate(deflated: bytes) -> bytes:
@@ -309,8 +309,8 @@
     return plain
 
 
-def _unpack_news(packed: _PackedNews) -> FeedNews:
-    return FeedNews(
+def _unpack_feed_update(packed: _PackedFeedUpdate) -> FeedUpdate:
+    return FeedUpdate(
         feed=packed.feed,
         base=packed.base,
         revision=packed.revision,
@@ -331,7 +331,7 @@
     )
 
 
-def _unpack_struck(packed: _PackedStruck) -> Struck:
+def _unpack_strike_report(packed: _PackedStrikeReport) -> StrikeReport:
     strike = Strike(
         name=packed.name,
         content=packed.content,
@@ -339,7 +339,7 @@
         servers=packed.servers,
         is_trial=packed.is_trial,
     )
-    return Struck(strike=strike, passes_on=packed.passes_on)
+    return StrikeReport(strike=strike, passes_on=packed.passes_on)
 
 
 def _unpack_answers(packed: _PackedAnswers) -> Answers:
--- a/src/lavendergap/protocol/peer.py
+++ b/src/lavendergap/protocol/peer.py
@@ -19,8 +19,8 @@
     Cancel,
     Document,
     FeedFetch,
-    FeedNews,
     FeedState,
+    FeedUpdate,
     Fetch,
     Frame,
     GoingAway,
@@ -28,25 +28,25 @@
     Message,
     Ping,
     Pong,
-    Ran,
     Run,
+    RunOutcome,
     Search,
-    Struck,
-    TicketAsk,
+    StrikeReport,
     TicketReply,
+    TicketRequest,
 )
 from .packing import (
     pack_answers,
+    pack_feed_update,
     pack_fetch,
-    pack_news,
     pack_search,
     pack_state,
-    pack_struck,
+    pack_strike_report,
     unpack,
 )
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 PACKED_BIT = 1 << 31
 
 capnp.remove_import_hook()
@@ -126,7 +126,7 @@
             run.group = message.group
             run.leftMs = message.left_ms
             run.body = message.body
-        case Ran():
+        case RunOutcome():
             ran = frame.init("ran")
             ran.server = message.server
             _write_outcome(ran.init("outcome"), message.outcome)
@@ -139,7 +139,7 @@
             document.name = message.name
             document.version = message.version
             document.body = message.body
-        case TicketAsk():
+        case TicketRequest():
             ask = frame.init("ticket")
             ask.verb = message.verb
             ask.ticket = message.ticket
@@ -170,10 +170,10 @@
         left_ms=f.leftMs,
         body=bytes(f.body),
     ),
-    "ran": lambda f: Ran(server=f.server, outcome=_require_outcome(f.outcome)),
+    "ran": lambda f: RunOutcome(server=f.server, outcome=_require_outcome(f.outcome)),
     "fetch": lambda f: Fetch(name=f.name, at_least=f.atLeast),
     "document": lambda f: Document(name=f.name, version=f.version, body=bytes(f.body)),
-    "ticket": lambda f: TicketAsk(
+    "ticket": lambda f: TicketRequest(
         verb=f.verb,
         ticket=f.ticket,
         body=bytes(f.body),
@@ -190,12 +190,12 @@
     """Return the bytes of a frame, with the length prefix."""
     packed = _pack(frame)
     if packed is not None:
-        return LENGTH.pack(len(packed) | PACKED_BIT) + packed
+        return LENGTH_PREFIX.pack(len(packed) | PACKED_BIT) + packed
     target = _Frame.new_message()
     target.id = frame.id
     _write_message(target, frame.message)
     plain: bytes = target.to_bytes()
-    return LENGTH.pack(len(plain)) + plain
+    return LENGTH_PREFIX.pack(len(plain)) + plain
 
 
 def _pack(frame: Frame) -> bytes | None:
@@ -205,20 +205,20 @@
             return pack_search(frame.id, search)
         case Answers() as answers:
             return pack_answers(frame.id, answers)
-        case FeedNews() as news:
-            return pack_news(frame.id, news)
+        case FeedUpdate() as update:
+            return pack_feed_update(frame.id, update)
         case FeedFetch() as fetch:
             return pack_fetch(frame.id, fetch)
         case FeedState() as state:
             return pack_state(frame.id, state)
-        case Struck() as struck:
-            return pack_struck(frame.id, struck)
+        case StrikeReport() as report:
+            return pack_strike_report(frame.id, report)
     return None
 
 
-def read_length(head: bytes | bytearray, start: int) -> tuple[int, bool]:
+def read_length_prefix(head: bytes | bytearray, start: int) -> tuple[int, bool]:
     """Return the length prefix at `start`, and whether the message is msgpack."""
-    (word,) = LENGTH.unpack_from(head, start)
+    (word,) = LENGTH_PREFIX.unpack_from(head, start)
     return word & ~PACKED_BIT, bool(word & PACKED_BIT)
 
 
--- a/src/lavendergap/protocol/account.py
+++ b/src/lavendergap/protocol/requeststats.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class RouteAccount:
+class RouteStats:
     """The requests of one route."""
 
     ends: Counter[End] = field(default_factory=Counter)
@@ -71,29 +71,29 @@
 
     n_asked: int = 0
     n_lost: int = 0
-    beliefs: Counter[str] = field(default_factory=Counter)
+    events: Counter[str] = field(default_factory=Counter)
 
 
-class Account:
+class RequestStats:
     """Counts requests by route, by cause and by second."""
 
     def __init__(self) -> None:
-        self.routes: dict[str, RouteAccount] = {}
+        self.routes: dict[str, RouteStats] = {}
         self.seconds: dict[str, SecondCounts] = {}
         self.n_lines = 0
-        self.n_bad = 0
+        self.n_bad_lines = 0
         self._open_traces: OrderedDict[str, RequestTrace] = OrderedDict()
 
-    def note_bad(self) -> None:
+    def count_bad_line(self) -> None:
         """Count a line that is not a valid log line."""
-        self.n_bad += 1
+        self.n_bad_lines += 1
 
-    def note(self, line: LogLine) -> None:
+    def count_line(self, line: LogLine) -> None:
         """Count one line."""
         self.n_lines += 1
         if not line.request_id:
             if line.event:
-                self._get_second_counts(line).beliefs[line.event] += 1
+                self._get_second_counts(line).events[line.event] += 1
             return
         match line.event:
             case "done":
@@ -137,8 +137,8 @@
         if end is not End.IN_TIME or is_partial:
             route.causes[f"{end}: {find_cause(line, trace)}"] += 1
 
-    def _get_route(self, line: LogLine) -> RouteAccount:
-        return self.routes.setdefault(str(line.fields.get("route", "")), RouteAccount())
+    def _get_route(self, line: LogLine) -> RouteStats:
+        return self.routes.setdefault(str(line.fields.get("route", "")), RouteStats())
 
     def _get_second_counts(self, line: LogLine) -> SecondCounts:
         return self.seconds.setdefault(line.time[:19], SecondCounts())
--- a/src/lavendergap/protocol/tickets.py
+++ b/src/lavendergap/protocol/tickets.py
@@ -1,7 +1,7 @@
 """The codec of requests and replies about tickets, as messages between hosts.
 
-`TicketAsk.verb` and `TicketReply.verdict` name the data class, whose contents are in
-the other fields of the message.
+`TicketRequest.verb` and `TicketReply.verdict` name the data class, whose contents are
+in the other fields of the message.
 """
 
 import re
@@ -35,7 +35,7 @@
     is_ticket_name,
     parse_ticket,
 )
-from .messages import BadFrameError, TicketAsk, TicketReply
+from .messages import BadFrameError, TicketReply, TicketRequest
 
 RUN = "run"
 ASK = "ask"
@@ -55,39 +55,39 @@
 Reply = StartedReply | VoidReply | KeptReply | IssuerReply
 
 
-def encode_request(request: WitnessRequest) -> TicketAsk:
+def encode_request(request: WitnessRequest) -> TicketRequest:
     """Return the message for a request to a witness."""
     match request:
         case OpenIssuer(issuer=issuer, witness=witness, secret=secret):
-            return TicketAsk(
+            return TicketRequest(
                 verb=OPEN, ticket=_join_peers(issuer, witness), body=secret
             )
         case CloseIssuer(issuer=issuer, witness=witness):
-            return TicketAsk(verb=CLOSE, ticket=_join_peers(issuer, witness))
+            return TicketRequest(verb=CLOSE, ticket=_join_peers(issuer, witness))
         case RecordStarted(ticket=ticket):
-            return TicketAsk(verb=STARTED, ticket=str(ticket))
+            return TicketRequest(verb=STARTED, ticket=str(ticket))
         case RecordEnded(ticket=ticket, outcome=outcome):
-            return TicketAsk(verb=ENDED, ticket=str(ticket), outcome=outcome)
+            return TicketRequest(verb=ENDED, ticket=str(ticket), outcome=outcome)
         case VoidTicket(ticket=ticket):
-            return TicketAsk(verb=VOID, ticket=str(ticket))
+            return TicketRequest(verb=VOID, ticket=str(ticket))
 
 
-def decode_request(ask: TicketAsk) -> WitnessRequest:
+def decode_request(ask: TicketRequest) -> WitnessRequest:
     """Return the request to a witness in `ask`, or raise `BadFrameError`."""
     match ask:
-        case TicketAsk(verb="open issuer"):
+        case TicketRequest(verb="open issuer"):
             issuer, witness = _split_peers(ask.ticket)
             return OpenIssuer(
                 issuer=issuer, witness=witness, secret=_read_secret(ask.body)
             )
-        case TicketAsk(verb="close issuer"):
+        case TicketRequest(verb="close issuer"):
             issuer, witness = _split_peers(ask.ticket)
             return CloseIssuer(issuer=issuer, witness=witness)
-        case TicketAsk(verb="record started"):
+        case TicketRequest(verb="record started"):
             return RecordStarted(ticket=read_ticket(ask))
-        case TicketAsk(verb="record ended", outcome=outcome) if outcome is not None:
+        case TicketRequest(verb="record ended", outcome=outcome) if outcome is not None:
             return RecordEnded(ticket=read_ticket(ask), outcome=outcome)
-        case TicketAsk(verb="void"):
+        case TicketRequest(verb="void"):
             return VoidTicket(ticket=read_ticket(ask))
         case _:
             raise BadFrameError(
@@ -95,7 +95,7 @@
             )
 
 
-def read_ticket(ask: TicketAsk) -> Ticket:
+def read_ticket(ask: TicketRequest) -> Ticket:
     """Return the ticket that `ask` is about, or raise `BadFrameError`."""
     ticket = parse_ticket(ask.ticket)
     if isinstance(ticket, BadTicket):
--- a/src/lavendergap/state/feeds.py
+++ b/src/lavendergap/state/feeds.py
@@ -39,12 +39,12 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HistoryGone:
+class HistoryExpired:
     """The store no longer has the changes since that revision; list the feed again."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StoreLost:
+class StoreUnavailable:
     """The store gave no usable answer; `retry_after_s` is its Retry-After, or 0."""
 
     step: Step
@@ -55,14 +55,16 @@
 class FeedSource(Protocol):
     """Reads the store's feeds. Its methods return errors and raise none."""
 
-    async def list_feed(self, feed: str, *, may_lag: bool) -> FeedListing | StoreLost:
+    async def list_feed(
+        self, feed: str, *, allow_stale: bool
+    ) -> FeedListing | StoreUnavailable:
         """Return all entries of a feed.
 
-        With `may_lag` they may be some seconds old. Such a read is much cheaper for
+        With `allow_stale` they may be some seconds old. Such a read is much cheaper for
         the store; a watch from the returned revision yields the later changes.
         """
 
     async def watch_feed(
         self, feed: str, *, after: int, wait_s: float
-    ) -> FeedChanges | HistoryGone | StoreLost:
+    ) -> FeedChanges | HistoryExpired | StoreUnavailable:
         """Wait up to `wait_s` seconds for changes after a revision."""
--- a/src/lavendergap/state/hostfile.py
+++ b/src/lavendergap/state/hostfile.py
@@ -60,18 +60,18 @@
 class GatewayBounds:
     """The platform's bounds, with times in seconds, and its budget of extra calls.
 
-    `evacuate` is how long after the store acknowledged an evacuation requests may
-    still be sent to the data centre; None if the platform has no evacuations. Per
+    `evacuate_within_s` is how long after the store acknowledged an evacuation requests
+    may still be sent to the data centre; None if the platform has no evacuations. Per
     second, all hosts together may send a cold server `cold_rate_factor` times the rate
     that its service tolerates, plus `cold_rate_slack` requests.
     """
 
-    drain: float
-    stop_within: float
+    drain_s: float
+    stop_within_s: float
     extra_call_share: float
     extra_call_slack: float
-    extra_call_window: float
-    evacuate: float | None = None
+    extra_call_window_s: float
+    evacuate_within_s: float | None = None
     cold_rate_factor: float = 1.0
     cold_rate_slack: float = 0.0
 
@@ -82,7 +82,7 @@
 
     `regions` maps each data centre of the deployment to its region; it is empty if the
     file names none. `seeds` are the hosts contacted first to discover others; some may
-    be down. All hosts accept peer channels on the same port. `heartbeat` is in seconds.
+    be down. All hosts accept peer channels on the same port.
     `cores` is the host's processing power in reference cores: with 0.5 an answer takes
     twice as long.
     """
@@ -94,7 +94,7 @@
     peers: Address
     store: Address
     seeds: tuple[Address, ...]
-    heartbeat: float
+    heartbeat_s: float
     cores: float
     bounds: GatewayBounds
     regions: Mapping[str, str] = field(default_factory=dict)
@@ -137,17 +137,19 @@
             Address(ip=_read_address(seed, file, "seeds").ip, port=peers.port)
             for seed in read.seeds
         ),
-        heartbeat=read.heartbeat_ms / 1_000,
+        heartbeat_s=read.heartbeat_ms / 1_000,
         cores=read.cpu_share * read.cpu_speed,
         bounds=GatewayBounds(
-            drain=bounds.drain_ms / 1_000,
-            stop_within=bounds.stop_within_ms / 1_000,
+            drain_s=bounds.drain_ms / 1_000,
+            stop_within_s=bounds.stop_within_ms / 1_000,
             extra_call_share=bounds.extra_call_share,
             extra_call_slack=bounds.extra_call_slack,
-            extra_call_window=bounds.extra_call_window_s,
+            extra_call_window_s=bounds.extra_call_window_s,
             cold_rate_factor=bounds.cold_rate_factor,
             cold_rate_slack=bounds.cold_rate_slack,
-            evacuate=None if bounds.evacuate_ms is None else bounds.evacuate_ms / 1_000,
+            evacuate_within_s=(
+                None if bounds.evacuate_ms is None else bounds.evacuate_ms / 1_000
+            ),
         ),
         regions=read.regions,
     )
--- a/src/lavendergap/state/outcome.py
+++ b/src/lavendergap/state/outcome.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Missing:
+class MissingShard:
     """A shard that an answer does not cover, and the reason."""
 
     shard: str
@@ -112,4 +112,4 @@
     n_asked: int
     n_answered: int
     share: float
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingShard, ...]
--- a/src/lavendergap/state/syntax.py
+++ b/src/lavendergap/state/syntax.py
@@ -8,7 +8,7 @@
 from ..errors import Problem, SettingsError
 from .values import is_name
 
-MAX_BYTES = 1_000_000
+MAX_SETTINGS_BYTES = 1_000_000
 """The platform stores values of up to a megabyte."""
 
 MAX_DEPTH = 12
@@ -54,9 +54,9 @@
 
 def _decode(text: str | bytes, *, file: str) -> str:
     data = text.encode("utf-8", "surrogatepass") if isinstance(text, str) else text
-    if len(data) > MAX_BYTES:
+    if len(data) > MAX_SETTINGS_BYTES:
         found = f"this has {len(data)}"
-        raise _make_error(file, "", f"at most {MAX_BYTES} bytes, but {found}")
+        raise _make_error(file, "", f"at most {MAX_SETTINGS_BYTES} bytes, but {found}")
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
--- a/src/lavendergap/state/tree.py
+++ b/src/lavendergap/state/tree.py
@@ -18,7 +18,7 @@
     Settings,
     WaitForCoverage,
 )
-from .syntax import MAX_BYTES
+from .syntax import MAX_SETTINGS_BYTES
 
 _T = TypeVar("_T")
 _MAX_PROBLEMS = 50
@@ -40,7 +40,7 @@
     """
     try:
         with open(path, "rb") as file:
-            return file.read(MAX_BYTES + 1)
+            return file.read(MAX_SETTINGS_BYTES + 1)
     except OSError as error:
         what = f"cannot be read: {error.strerror or error}; expected a settings file"
         problem = Problem(file=str(path), path="", expected=what)
--- a/src/lavendergap/transport/backend.py
+++ b/src/lavendergap/transport/backend.py
@@ -16,13 +16,13 @@
 from .. import metrics
 from ..coordination.calls import Call, ServerReport, ServerState
 from ..logs import Category, get_logger, log_decision
-from ..protocol.leaf import (
+from ..protocol.backend import (
     MAX_VERSION,
     Headers,
     Reply,
     Verdict,
     build_headers,
-    judge_reply,
+    check_reply,
 )
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Server
@@ -131,7 +131,7 @@
             self._mean_latency_s += LATENCY_SMOOTHING_FACTOR * (
                 elapsed - self._mean_latency_s
             )
-            return judge_reply(result, call, attempt=attempt, server=self.server.name)
+            return check_reply(result, call, attempt=attempt, server=self.server.name)
         return Verdict(outcome=result, report=None)
 
     def _compute_timeout(
--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -25,11 +25,11 @@
     Pong,
 )
 from ..protocol.peer import (
-    LENGTH,
+    LENGTH_PREFIX,
     MAX_FRAME_BYTES,
     decode_frame,
     encode_frame,
-    read_length,
+    read_length_prefix,
 )
 from .rounds import get_periodic_checks
 
@@ -241,14 +241,14 @@
 
     def _process_frames(self, buffer: bytearray) -> None:
         start = 0
-        while len(buffer) - start >= LENGTH.size:
-            length, is_packed = read_length(buffer, start)
+        while len(buffer) - start >= LENGTH_PREFIX.size:
+            length, is_packed = read_length_prefix(buffer, start)
             if length > MAX_FRAME_BYTES:
                 raise BadFrameError(problem=f"a frame of {length} bytes")
-            end = start + LENGTH.size + length
+            end = start + LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
-            body = bytes(buffer[start + LENGTH.size : end])
+            body = bytes(buffer[start + LENGTH_PREFIX.size : end])
             self._process_frame(decode_frame(body, is_packed=is_packed))
             start = end
         del buffer[:start]
--- a/src/lavendergap/transport/forward.py
+++ b/src/lavendergap/transport/forward.py
@@ -15,12 +15,12 @@
 from .. import metrics
 from ..coordination.calls import Call, ServerReport
 from ..logs import Category, get_logger, log_decision
+from ..protocol.backend import Reply, Verdict
 from ..protocol.forwarding import (
     HeaderNames,
-    judge_forwarded,
+    check_forwarded_reply,
     render_request,
 )
-from ..protocol.leaf import Reply, Verdict
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Server
 from .link import Exchange, Result, ServerConnection, has_input
@@ -185,7 +185,7 @@
             return Verdict(outcome=result, report=None)
         assert call.forward is not None
         try:
-            return judge_forwarded(
+            return check_forwarded_reply(
                 result,
                 call.forward,
                 names=self._names,
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -16,7 +16,7 @@
 from ..coordination.routing import RouteIndex
 from ..logs import Category, get_logger, log_decision
 from ..protocol.answers import encode_error, name_outcome
-from ..protocol.forwarding import HeaderNames, JoinedRecords, keep_end_to_end
+from ..protocol.forwarding import HeaderNames, MergedRecords, keep_end_to_end
 from ..state.forwarding import ForwardedRequest, Headers
 from ..state.outcome import Answered, NotRun, Reason, Step, Unknown
 from ..state.routes import Route
@@ -67,7 +67,7 @@
         return self.forward.attempt.decode("latin-1")
 
 
-GatewayResult = Answered | JoinedRecords | NotRun | Unknown
+GatewayResult = Answered | MergedRecords | NotRun | Unknown
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -230,9 +230,9 @@
         return left
 
     def _record_send_time(self, result: GatewayResult) -> None:
-        if isinstance(result, JoinedRecords) and result.cut_at is not None:
+        if isinstance(result, MergedRecords) and result.wait_ends_at is not None:
             now = trio.current_time()
-            self._reserve.note(took_ms=(now - result.cut_at) * 1_000, now=now)
+            self._reserve.note(took_ms=(now - result.wait_ends_at) * 1_000, now=now)
 
     async def _forward_until_disconnect(
         self, request: GatewayRequest, receive: Receive, deferred: ExitStack
@@ -272,7 +272,7 @@
         match result:
             case Answered(status=status):
                 detail = {"status": status}
-            case JoinedRecords(coverage=coverage):
+            case MergedRecords(coverage=coverage):
                 if coverage.missing:
                     outcome = "partly answered"
                 detail = {
@@ -312,7 +312,7 @@
         match result:
             case Answered(status=status, headers=headers, body=body):
                 return _Reply(status=status, headers=headers, body=body)
-            case JoinedRecords():
+            case MergedRecords():
                 return self._render_joined(request, result)
             case NotRun():
                 return _render_refusal(result)
@@ -326,7 +326,7 @@
                     body=encode_error(f"{result.step.value}: {reason.value}"),
                 )
 
-    def _render_joined(self, request: GatewayRequest, joined: JoinedRecords) -> _Reply:
+    def _render_joined(self, request: GatewayRequest, joined: MergedRecords) -> _Reply:
         names = self._names
         proofs = [
             value
--- a/src/lavendergap/transport/link.py
+++ b/src/lavendergap/transport/link.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..coordination.calls import Call
-from ..protocol.leaf import Reply
+from ..protocol.backend import Reply
 from ..state.outcome import NotRun, Reason, Step, Unknown
 from .replies import ReplyReader, WrongAnswerError
 
--- a/src/lavendergap/transport/replies.py
+++ b/src/lavendergap/transport/replies.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from ..protocol.leaf import Reply
+from ..protocol.backend import Reply
 
 # Larger than any valid answer; a faulty server must not exhaust the memory.
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from lavendergap.coordination.calls import Call
-from lavendergap.protocol.leaf import Verdict
+from lavendergap.protocol.backend import Verdict
 from lavendergap.state.forwarding import ForwardedRequest
 from lavendergap.state.outcome import Answered, NotRun, Reason, Unknown
 from lavendergap.state.settings import Address, Server
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -10,7 +10,7 @@
 from lavendergap.coordination.feeds import FeedCopy
 from lavendergap.entry.batch import Wanted
 from lavendergap.entry.owner import Owner as CallOwner
-from lavendergap.protocol.leaf import Verdict
+from lavendergap.protocol.backend import Verdict
 from lavendergap.state.feeds import FeedChange, FeedChanges, FeedEntry, FeedListing
 from lavendergap.state.outcome import NotRun, Reason, Step, Unknown
 from lavendergap.state.settings import Server, Settings, WaitForCoverage
