--- a/lab/controltables.py
+++ b/lab/controltables.py
@@ -114,7 +114,7 @@
     rows = [
         ("waiting watches", show(load.waiting)),
         ("their renewals", show(load.renewals, "a second")),
-        ("ends of watches and fetches after edits", show(load.news, "a second")),
+        ("ends of watches and fetches after edits", show(load.fetches, "a second")),
         ("each host's own reads", show(load.reads, "a second")),
         ("all calls", show(load.calls_per_s, "a second")),
         ("writes: the edits themselves", show(EDITS_PER_S, "a second")),
--- a/lab/memberchanges.py
+++ b/lab/memberchanges.py
@@ -17,7 +17,7 @@
 from lavendergap.coordination.membership import Membership
 from lavendergap.coordination.placement import Placement
 from lavendergap.entry.fleet import Fleet
-from lavendergap.entry.livehosts import PAUSE, LiveHosts
+from lavendergap.entry.livehosts import APPLY_INTERVAL_S, LiveHosts
 from lavendergap.state.gossip import Gossip
 from lavendergap.state.member import DocumentsDigest, Member
 from lavendergap.state.registry import RegisteredServer
@@ -68,10 +68,10 @@
             servers=servers,
             budget=budget,
             n_hosts=len(membership.live()),
-            before=None if is_naive else catalog,
+            previous=None if is_naive else catalog,
         )
-        placement.replace_servers(catalog.places, catalog.sets)
-        for group in catalog.places:
+        placement.replace_servers(catalog.shard_data_centres, catalog.shard_sets)
+        for group in catalog.shard_data_centres:
             fleet.rank(group)
 
     live_hosts = LiveHosts(
@@ -83,9 +83,9 @@
             _receive_gossip(membership, number, now=trio.current_time())
             started = time.process_time()
             for event in membership.take_events():
-                live_hosts.take_event(event)
+                live_hosts.handle_event(event)
             # A full pause per change makes the naive variant apply each one separately.
-            clock.jump(PAUSE if is_naive else JOIN_PERIOD_S / n_hosts)
+            clock.jump(APPLY_INTERVAL_S if is_naive else JOIN_PERIOD_S / n_hosts)
             await trio.testing.wait_all_tasks_blocked()
             cpu_s += time.process_time() - started
         nursery.cancel_scope.cancel()
--- a/src/lavendergap/coordination/advertisers.py
+++ b/src/lavendergap/coordination/advertisers.py
@@ -17,8 +17,8 @@
     """The hosts that advertised a newer version, each to be asked once for it.
 
     >>> advertisers = Advertisers()
-    >>> advertisers.note("ptl-a-1", FetchDocument(name="index/scheduler", at_least=7))
-    >>> advertisers.note("ptl-a-2", FetchDocument(name="index/scheduler", at_least=8))
+    >>> advertisers.add("ptl-a-1", FetchDocument(name="index/scheduler", at_least=7))
+    >>> advertisers.add("ptl-a-2", FetchDocument(name="index/scheduler", at_least=8))
     >>> advertisers.take("index/scheduler", 6).host
     'ptl-a-2'
     >>> advertisers.take("index/scheduler", 8) is None
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._versions: dict[str, dict[str, int]] = {}
 
-    def note(self, host: str, want: FetchDocument) -> None:
+    def add(self, host: str, want: FetchDocument) -> None:
         """Record that `host` has the wanted version."""
         self._versions.setdefault(want.name, {})[host] = want.at_least
 
--- a/src/lavendergap/coordination/catalog.py
+++ b/src/lavendergap/coordination/catalog.py
@@ -64,16 +64,16 @@
 class Catalog:
     """All groups with their servers, and the data centres of each shard's servers.
 
-    `sets` are the shards that the queries of a route ask together, `named_groups` all
-    groups that `table` names. `service_inputs` holds the inputs of each service, to
+    `shard_sets` are the shards that the queries of a route ask together, `named_groups`
+    all groups that `table` names. `service_inputs` holds the inputs of each service, to
     compare with those of the next catalog.
     """
 
     table: RouteTable
     named_groups: frozenset[str]
     services: tuple[Service, ...]
-    places: Mapping[str, frozenset[str]]
-    sets: tuple[tuple[str, ...], ...]
+    shard_data_centres: Mapping[str, frozenset[str]]
+    shard_sets: tuple[tuple[str, ...], ...]
     service_inputs: Mapping[str, _ServiceInputs]
 
 
@@ -85,7 +85,7 @@
     n_hosts: int,
     evacuated: Collection[str] = (),
     warmup: WarmupBound | None = None,
-    before: Catalog | None = None,
+    previous: Catalog | None = None,
 ) -> Catalog:
     """Return the groups that the routes name, or that have servers.
 
@@ -93,31 +93,31 @@
     new calls. A group without servers stays, so that calls to it are refused with that
     as the reason.
 
-    Services whose inputs are equal in the catalog `before` are taken from it. A change
-    of the hosts or of one server affects few groups, and building all of them for each
-    host that joins would be slow when all hosts start together.
+    Services whose inputs are equal in the `previous` catalog are taken from it. A
+    change of the hosts or of one server affects few groups, and building all of them
+    for each host that joins would be slow when all hosts start together.
     """
-    if before is not None and before.table is table:
-        named_groups, sets = before.named_groups, before.sets
+    if previous is not None and previous.table is table:
+        named_groups, shard_sets = previous.named_groups, previous.shard_sets
     else:
-        named_groups, sets = _list_groups(table), _list_shard_sets(table)
+        named_groups, shard_sets = _list_groups(table), _list_shard_sets(table)
     serving: dict[str, list[RegisteredServer]] = {group: [] for group in named_groups}
     for server in servers:
         if not server.is_draining and server.data_centre not in evacuated:
             serving.setdefault(server.group, []).append(server)
-    shards = {group for groups in sets for group in groups}
+    shards = {group for groups in shard_sets for group in groups}
     previous_services = (
-        {} if before is None else {each.name: each for each in before.services}
+        {} if previous is None else {each.name: each for each in previous.services}
     )
     services = []
-    places = {}
+    shard_data_centres = {}
     all_inputs = {}
     for group, members in serving.items():
         data_centres = frozenset(member.data_centre for member in members)
         n_owners = n_hosts + N_SPARE_OWNERS
         if group in shards:
             n_owners = min(n_owners, len(data_centres) + N_SPARE_OWNERS)
-            places[group] = data_centres
+            shard_data_centres[group] = data_centres
         connections = table.connections.get(group, DEFAULT_CONNECTIONS)
         service_inputs = _ServiceInputs(
             members=tuple(sorted(members, key=lambda member: member.server_id)),
@@ -131,7 +131,8 @@
             ),
         )
         is_same = (
-            before is not None and before.service_inputs.get(group) == service_inputs
+            previous is not None
+            and previous.service_inputs.get(group) == service_inputs
         )
         services.append(
             previous_services[group]
@@ -143,8 +144,8 @@
         table=table,
         named_groups=named_groups,
         services=tuple(services),
-        places=places,
-        sets=sets,
+        shard_data_centres=shard_data_centres,
+        shard_sets=shard_sets,
         service_inputs=all_inputs,
     )
 
--- a/src/lavendergap/coordination/feeds.py
+++ b/src/lavendergap/coordination/feeds.py
@@ -16,7 +16,7 @@
 Summarize = Callable[[str, bytes], object]
 
 
-def use_whole(name: str, body: bytes) -> object:
+def summarize_whole(name: str, body: bytes) -> object:
     """Return the whole body, for feeds in which every change matters."""
     return body
 
@@ -26,26 +26,30 @@
 
     Servers renew their entries in the store. During an outage of the store they cannot,
     so the entries of live servers lapse; these servers register again within
-    `lapse_grace` seconds of the store's return. So an entry that vanishes within that
+    `lapse_grace_s` of the store's return. So an entry that vanishes within that
     time is kept until its end. Removed at once, all servers would be out of use after
     each outage, and all callers refused.
 
     >>> from lavendergap.state.feeds import FeedChange, FeedEntry
-    >>> copy = FeedCopy(lapse_grace=2.2)
+    >>> copy = FeedCopy(lapse_grace_s=2.2)
     >>> listing = FeedListing(revision=7, entries=(FeedEntry(name="a", body=b"1"),))
-    >>> copy.take_listing(listing, now=10.0)
+    >>> copy.apply_listing(listing, now=10.0)
     True
-    >>> copy.note_return(now=20.0)
+    >>> copy.record_store_return(now=20.0)
     >>> gone = FeedChanges(revision=8, changes=(FeedChange(name="a", body=None),))
-    >>> copy.take_changes(gone, now=20.5), copy.settle(now=21.0), dict(copy.entries)
-    (False, False, {'a': b'1'})
-    >>> copy.settle(now=22.2), dict(copy.entries)
+    >>> copy.apply_changes(gone, now=20.5), copy.drop_lapsed(now=21.0)
+    (False, False)
+    >>> dict(copy.entries)
+    {'a': b'1'}
+    >>> copy.drop_lapsed(now=22.2), dict(copy.entries)
     (True, {})
     """
 
-    def __init__(self, *, lapse_grace: float, summarize: Summarize = use_whole) -> None:
+    def __init__(
+        self, *, lapse_grace_s: float, summarize: Summarize = summarize_whole
+    ) -> None:
         self.revision = 0
-        self._lapse_grace = lapse_grace
+        self._lapse_grace_s = lapse_grace_s
         self._summarize = summarize
         self._hashes: dict[str, int] = {}
         self._buckets = [0] * N_BUCKETS
@@ -86,7 +90,7 @@
             if name not in self._lapse_ends and get_bucket(name) in buckets
         )
 
-    def foresee(self, changes: Iterable[FeedChange]) -> int:
+    def compute_fingerprint_with(self, changes: Iterable[FeedChange]) -> int:
         """Return the fingerprint that the copy would have after `changes`."""
         hashes = self._hashes
         fingerprint = self._fingerprint
@@ -96,18 +100,18 @@
                 fingerprint ^= self._hash(change.name, change.body)
         return fingerprint
 
-    def adopt(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Set a newer revision at which the feed is known to equal this copy.
 
         Equal fingerprints show that; an empty reply to a watch does not.
         """
         self.revision = max(self.revision, revision)
 
-    def note_return(self, *, now: float) -> None:
+    def record_store_return(self, *, now: float) -> None:
         """Record the time at which the store answers again after an outage."""
         self._store_returned_at = now
 
-    def take_listing(
+    def apply_listing(
         self,
         listing: FeedListing,
         *,
@@ -131,7 +135,7 @@
             has_changed |= self._put(name, body)
         return has_changed
 
-    def take_changes(self, changes: FeedChanges, *, now: float) -> bool:
+    def apply_changes(self, changes: FeedChanges, *, now: float) -> bool:
         """Apply the changes reported by a watch; return whether the entries changed.
 
         An empty reply does not advance the revision. While the store compacts its
@@ -151,7 +155,7 @@
                 has_changed |= self._put(change.name, change.body)
         return has_changed
 
-    def settle(self, *, now: float) -> bool:
+    def drop_lapsed(self, *, now: float) -> bool:
         """Drop the lapsed entries whose time has passed; return whether any was."""
         due = [name for name, until in self._lapse_ends.items() if until <= now]
         for name in due:
@@ -159,17 +163,17 @@
             self._entries.pop(name, None)
         return bool(due)
 
-    def is_news(self, change: FeedChange) -> bool:
+    def alters_fingerprint(self, change: FeedChange) -> bool:
         """Return whether a change alters the fingerprint.
 
         The return of a lapsed entry does, even if its body is the same: other hosts
         keep the entry for a while only, and would then drop a live server for good.
         """
-        return self.foresee((change,)) != self._fingerprint
+        return self.compute_fingerprint_with((change,)) != self._fingerprint
 
     @property
-    def next_due(self) -> float | None:
-        """The time at which `settle` has something to do, or None."""
+    def next_lapse_at(self) -> float | None:
+        """The time at which `drop_lapsed` has something to do, or None."""
         return min(self._lapse_ends.values(), default=None)
 
     def _put(self, name: str, body: bytes) -> bool:
@@ -184,7 +188,7 @@
 
     def _remove(self, name: str, now: float) -> bool:
         self._update_hash(name, None)
-        until = self._store_returned_at + self._lapse_grace
+        until = self._store_returned_at + self._lapse_grace_s
         if now < until:
             self._lapse_ends.setdefault(name, until)
             return False
--- a/src/lavendergap/coordination/joining.py
+++ b/src/lavendergap/coordination/joining.py
@@ -22,7 +22,7 @@
 from ..state.snapshot import Shard, Snapshot
 
 # Sums of shares, such as 20 times 0.05, may fall short of 1 by rounding.
-ROUNDING = 1e-9
+SHARE_TOLERANCE = 1e-9
 # Lower bound of the wait for stragglers, in seconds, when answers take microseconds.
 MIN_PATIENCE_S = 0.002
 
@@ -193,13 +193,16 @@
     def _update_give_up_time(self, now: float) -> None:
         match self.policy:
             case GiveUpStragglers(min_share=min_share, patience=patience):
-                if self._give_up_at is None and self._share + ROUNDING >= min_share:
+                if (
+                    self._give_up_at is None
+                    and self._share + SHARE_TOLERANCE >= min_share
+                ):
                     wait = max(MIN_PATIENCE_S, patience * median(self._answer_times))
                     self._give_up_at = now + wait
             case AnswerByGoal(min_share=min_share, goal_ms=goal_ms):
-                if self._share + ROUNDING >= min_share:
+                if self._share + SHARE_TOLERANCE >= min_share:
                     self._give_up_at = max(now, self.started + goal_ms / 1_000)
-                elif self._lost_share > 1.0 - min_share + ROUNDING:
+                elif self._lost_share > 1.0 - min_share + SHARE_TOLERANCE:
                     # The remaining shards cannot reach `min_share`, so the caller gets
                     # the answer now and not at its deadline.
                     self.is_done = True
--- a/src/lavendergap/coordination/membership.py
+++ b/src/lavendergap/coordination/membership.py
@@ -32,7 +32,7 @@
 GOSSIP_FANOUT = 3
 """How many hosts receive a new update at once, in addition to piggybacking."""
 
-MAX_TABLE_BYTES = 1_100
+MAX_TABLE_DATAGRAM_BYTES = 1_100
 MAX_TABLE_DATAGRAMS = 8
 """Datagrams of table in one exchange; the rest waits for the next exchange."""
 
@@ -141,7 +141,7 @@
             if member.state is MemberState.SUSPECT
         )
 
-    def places(self) -> dict[str, str]:
+    def get_data_centres(self) -> dict[str, str]:
         """Return the data centre of each host to which new work may go."""
         return {m.name: m.data_centre for m in self.members() if m.may_own}
 
@@ -198,7 +198,7 @@
         member = self._roster.get(name)
         if member is None or not member.may_own or self.superseded:
             return []
-        if self._probes.is_trying(member.peers):
+        if self._probes.is_probing(member.peers):
             return []
         return [self._ping(name, member.peers, now, member.incarnation)]
 
@@ -342,7 +342,7 @@
 
         All members known to this host may have been replaced during the pause.
         """
-        if not self._table.ignores_gossip or self._probes.is_trying(sender):
+        if not self._table.ignores_gossip or self._probes.is_probing(sender):
             return []
         return [self._ping("", sender, now)]
 
@@ -505,7 +505,7 @@
         unknown = [
             address
             for address in addresses
-            if address not in known and not self._probes.is_trying(address)
+            if address not in known and not self._probes.is_probing(address)
         ]
         n_tries = 1 if self.joined else N_INDIRECT_PROBES
         chosen = self._random.sample(unknown, min(n_tries, len(unknown)))
@@ -575,7 +575,7 @@
 
 def _take_table_part(members: list[Member]) -> tuple[Member, ...]:
     part: list[Member] = []
-    bytes_left = MAX_TABLE_BYTES
+    bytes_left = MAX_TABLE_DATAGRAM_BYTES
     while members and (bytes_left := bytes_left - estimate_bytes(members[-1])) >= 0:
         part.append(members.pop())
     return tuple(part)
--- a/src/lavendergap/coordination/pinning.py
+++ b/src/lavendergap/coordination/pinning.py
@@ -44,7 +44,7 @@
     >>> pinning = Pinning(published=both)
     >>> pinning.choose(now=0.0).version
     7
-    >>> pinning.mark_gone(shard="s00", version=7, now=0.0)
+    >>> pinning.record_refusal(shard="s00", version=7, now=0.0)
     >>> pinning.choose(now=0.1).version
     6
     >>> pinning.observe(shard="s00", versions=(6, 7), now=0.2)
@@ -81,7 +81,7 @@
         for version in versions:
             known.refused_at.pop(version, None)
 
-    def mark_gone(self, *, shard: str, version: int, now: float) -> None:
+    def record_refusal(self, *, shard: str, version: int, now: float) -> None:
         """Record that no replica of this shard served a version."""
         known = self._get_known(shard)
         known.refused_at[version] = now
--- a/src/lavendergap/coordination/placement.py
+++ b/src/lavendergap/coordination/placement.py
@@ -111,7 +111,7 @@
         """Return the data centre of a live host, or None if it is not live."""
         return self._hosts.get(host)
 
-    def get_host_beside(self, group: str) -> str | None:
+    def get_first_host_nearby(self, group: str) -> str | None:
         """Return the first ranked host for `group` in this host's own data centre.
 
         The group need not have servers there. None without a live host.
--- a/src/lavendergap/coordination/probing.py
+++ b/src/lavendergap/coordination/probing.py
@@ -98,7 +98,7 @@
             probe.asked_others = True
         return silent
 
-    def is_trying(self, address: Address) -> bool:
+    def is_probing(self, address: Address) -> bool:
         """Return whether a probe to an address waits for its answer."""
         return any(probe.address == address for probe in self._waiting.values())
 
--- a/src/lavendergap/coordination/relaying.py
+++ b/src/lavendergap/coordination/relaying.py
@@ -35,29 +35,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Receiver:
-    """A host to send to; with `passes_on` it relays to its whole data centre."""
+    """A host to send to; with `should_relay` it relays to its whole data centre."""
 
     host: str
-    passes_on: bool
+    should_relay: bool
     is_near: bool
 
 
-def are_long(changes: Iterable[FeedChange]) -> bool:
+def exceed_direct_limit(changes: Iterable[FeedChange]) -> bool:
     """Return whether changes are sent to one host of each other data centre only."""
     return _sum_body_bytes(changes) > MAX_DIRECT_BYTES
 
 
-def may_cross(changes: Collection[FeedChange]) -> bool:
+def fit_remote_announcement(changes: Collection[FeedChange]) -> bool:
     """Return whether announcements to other data centres contain the changes."""
-    if not are_long(changes):
+    if not exceed_direct_limit(changes):
         return True
-    if not may_stay(changes):
+    if not fit_local_announcement(changes):
         return False
     bodies = b"".join(change.body or b"" for change in changes)
     return len(zlib.compress(bodies, 1)) <= MAX_RELAYED_COMPRESSED_BYTES
 
 
-def may_stay(changes: Iterable[FeedChange]) -> bool:
+def fit_local_announcement(changes: Iterable[FeedChange]) -> bool:
     """Return whether announcements within a data centre contain the changes."""
     return _sum_body_bytes(changes) <= MAX_ANNOUNCED_BYTES
 
@@ -89,12 +89,12 @@
         is_near = data_centre == data_centres.get(own)
         if is_near or (len(hosts) < MIN_HOSTS_FOR_RELAY and not is_relayed):
             receivers += [
-                Receiver(host=host, passes_on=False, is_near=is_near)
+                Receiver(host=host, should_relay=False, is_near=is_near)
                 for host in sorted(hosts)
             ]
         else:
             relay = rank_hosts(own, hosts)[0]
-            receivers.append(Receiver(host=relay, passes_on=True, is_near=False))
+            receivers.append(Receiver(host=relay, should_relay=True, is_near=False))
     return tuple(receivers)
 
 
@@ -106,14 +106,14 @@
     )
 
 
-def leads_place(own: str, data_centres: Mapping[str, str]) -> bool:
+def leads_data_centre(own: str, data_centres: Mapping[str, str]) -> bool:
     """Return whether `own` is the host that watches the store for its data centre.
 
     Used only just after the start, while the watch holders of all hosts are not known
     yet.
 
     >>> data_centres = {"a-1": "a", "a-2": "a", "b-1": "b"}
-    >>> [host for host in data_centres if leads_place(host, data_centres)]
+    >>> [host for host in data_centres if leads_data_centre(host, data_centres)]
     ['a-1', 'b-1']
     """
     neighbours = list_neighbours(own, data_centres)
--- a/src/lavendergap/coordination/watchers.py
+++ b/src/lavendergap/coordination/watchers.py
@@ -91,13 +91,13 @@
 
     waiting: int
     renewals: float
-    news: float
+    fetches: float
     reads: float
 
     @property
     def calls_per_s(self) -> float:
         """Mean calls per second, of all kinds."""
-        return self.renewals + self.news + self.reads
+        return self.renewals + self.fetches + self.reads
 
 
 def bound_platform_load(
@@ -115,6 +115,6 @@
     return PlatformLoad(
         waiting=waiting,
         renewals=waiting / WATCH_WAIT_S,
-        news=2 * n_holders * changes_per_s,
+        fetches=2 * n_holders * changes_per_s,
         reads=n_hosts * CALLS_PER_READ / compute_read_interval(n_hosts),
     )
--- a/src/lavendergap/entry/adapter.py
+++ b/src/lavendergap/entry/adapter.py
@@ -34,11 +34,11 @@
     """The operations of the platform, in terms of this project's types."""
 
     @property
-    def names(self) -> HeaderNames:
+    def header_names(self) -> HeaderNames:
         """The platform's names of headers."""
 
     @property
-    def source(self) -> FeedSource:
+    def feed_source(self) -> FeedSource:
         """The source of the store's feeds."""
 
     def read_routes(self, entries: Mapping[str, bytes]) -> RouteTable | None:
--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -374,7 +374,7 @@
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
-            self._owner.close_unused()
+            self._owner.close_idle_runners()
             self._fleet.expire_avoided(now=trio.current_time())
             self._count_dropped_lines()
             if self._membership.superseded:
--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -7,7 +7,7 @@
 import trio
 
 from ..coordination.membership import Membership
-from ..coordination.registration import is_to_register
+from ..coordination.registration import should_register
 from ..logs import log_decision
 from ..state.feeds import FeedEntry, FeedListing, StoreUnavailable
 from ..state.hostfile import GatewayHost
@@ -76,7 +76,7 @@
             return True
         if trio.current_time() < self._started_at + REGISTER_AFTER_S:
             return False
-        return is_to_register(self._host.name, self._membership.places())
+        return should_register(self._host.name, self._membership.get_data_centres())
 
     async def _register(self) -> None:
         host = self._host
@@ -86,7 +86,7 @@
 
     async def _list_hosts(self) -> None:
         """List the registered hosts and contact them."""
-        match await self._adapter.source.list_feed(HOSTS_FEED, allow_stale=True):
+        match await self._adapter.feed_source.list_feed(HOSTS_FEED, allow_stale=True):
             case FeedListing(entries=entries):
                 for entry in entries:
                     self._join(entry)
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -40,7 +40,7 @@
 from ..transport.dialer import Dialer
 from ..transport.platform import PlatformClient
 from .fleet import Fleet
-from .reading import INDEX_PREFIX, MAX_RETRY_DELAY_S, PlatformReader
+from .platformreader import INDEX_PREFIX, MAX_RETRY_DELAY_S, PlatformReader
 
 logger = logging.getLogger("lavendergap.settings")
 
@@ -198,7 +198,7 @@
         for want in wanted:
             if not self._is_relevant(want.name) or self._is_known_unreadable(want):
                 continue
-            self._advertisers.note(host, want)
+            self._advertisers.add(host, want)
             if want.name not in self._fetching:
                 self._fetching.add(want.name)
                 self._nursery.start_soon(self._fetch, want.name)
--- a/src/lavendergap/entry/feedpeers.py
+++ b/src/lavendergap/entry/feedpeers.py
@@ -7,12 +7,12 @@
 
 from ..coordination.membership import Membership
 from ..coordination.relaying import (
-    are_long,
     choose_receivers,
-    leads_place,
+    exceed_direct_limit,
+    fit_local_announcement,
+    fit_remote_announcement,
+    leads_data_centre,
     list_neighbours,
-    may_cross,
-    may_stay,
 )
 from ..coordination.watchers import choose_watch_holders
 from ..protocol.messages import FeedFetch, FeedState, FeedUpdate, Frame, StrikeReport
@@ -69,7 +69,7 @@
         """Return whether this host watches for its data centre during startup."""
         if self.is_past_startup() or not self._membership.joined:
             return False
-        return leads_place(self._own_name, self._membership.places())
+        return leads_data_centre(self._own_name, self._membership.get_data_centres())
 
     def announce(self, update: FeedUpdate) -> None:
         """Send an update to all live hosts, without acknowledgement.
@@ -81,21 +81,27 @@
             if self.leads_data_centre():
                 self.relay(update)
             return
-        near = _strip_changes(update, is_whole=may_stay(update.changes))
-        far = _strip_changes(update, is_whole=may_cross(update.changes))
+        near = _strip_changes(update, is_whole=fit_local_announcement(update.changes))
+        far = _strip_changes(update, is_whole=fit_remote_announcement(update.changes))
         for receiver in choose_receivers(
             self._own_name,
-            self._membership.places(),
-            is_relayed=are_long(update.changes),
+            self._membership.get_data_centres(),
+            is_relayed=exceed_direct_limit(update.changes),
         ):
             message = near if receiver.is_near else far
-            self._send(receiver.host, replace(message, passes_on=receiver.passes_on))
+            self._send(
+                receiver.host, replace(message, should_relay=receiver.should_relay)
+            )
 
     def relay(self, update: FeedUpdate) -> None:
         """Forward an update to the other hosts of this data centre."""
-        message = _strip_changes(update, is_whole=may_stay(update.changes))
-        message = replace(message, passes_on=False)
-        for host in list_neighbours(self._own_name, self._membership.places()):
+        message = _strip_changes(
+            update, is_whole=fit_local_announcement(update.changes)
+        )
+        message = replace(message, should_relay=False)
+        for host in list_neighbours(
+            self._own_name, self._membership.get_data_centres()
+        ):
             self._send(host, message)
 
     def is_near(self, host: str) -> bool:
@@ -106,15 +112,17 @@
 
     def announce_strike(self, strike: Strike) -> None:
         """Send a strike to all live hosts, without waiting for the store."""
-        places = self._membership.places()
-        for receiver in choose_receivers(self._own_name, places):
-            report = StrikeReport(strike=strike, passes_on=receiver.passes_on)
+        data_centres = self._membership.get_data_centres()
+        for receiver in choose_receivers(self._own_name, data_centres):
+            report = StrikeReport(strike=strike, should_relay=receiver.should_relay)
             self._send(receiver.host, report)
 
     def relay_strike(self, strike: Strike) -> None:
         """Forward another host's strike to the other hosts of this data centre."""
-        for host in list_neighbours(self._own_name, self._membership.places()):
-            self._send(host, StrikeReport(strike=strike, passes_on=False))
+        for host in list_neighbours(
+            self._own_name, self._membership.get_data_centres()
+        ):
+            self._send(host, StrikeReport(strike=strike, should_relay=False))
 
     def _send(self, host: str, message: FeedUpdate | StrikeReport) -> None:
         channel = self._dialer.get_open(host)
@@ -142,7 +150,7 @@
         """
         others = self._list_others()
         if host is None and others:
-            near = list_neighbours(self._own_name, self._membership.places())
+            near = list_neighbours(self._own_name, self._membership.get_data_centres())
             host = self._random.choice(near or others)
         address = self._fleet.get_address(host) if host else None
         if host is None or address is None:
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -124,7 +124,7 @@
     ) -> None:
         self.feed = feed
         self._timing = timing
-        self.copy = FeedCopy(lapse_grace=LAPSE_GRACE_S, summarize=summarize)
+        self.copy = FeedCopy(lapse_grace_s=LAPSE_GRACE_S, summarize=summarize)
         self.is_loaded = False
         self._source = source
         self._peers = peers
@@ -191,7 +191,7 @@
                 case FeedChanges() as changes:
                     self._record_answer()
                     relevant = self._select_relevant(changes.changes)
-                    if self.copy.take_changes(changes, now=trio.current_time()):
+                    if self.copy.apply_changes(changes, now=trio.current_time()):
                         self._report_change("store")
                     if relevant and rank == 1:
                         await trio.sleep(SECOND_HOLDER_DELAY_S)
@@ -233,7 +233,7 @@
         return tuple(
             change
             for change in changes
-            if change.name in removed or self.copy.is_news(change)
+            if change.name in removed or self.copy.alters_fingerprint(change)
         )
 
     @property
@@ -267,7 +267,7 @@
                 n_failures=self._n_failures,
                 unconfirmed_s=round(min(now - self._confirmed_at, 1e6), 2),
             )
-            self.copy.note_return(now=now)
+            self.copy.record_store_return(now=now)
         self._n_failures = 0
         self._confirmed_at = now
 
@@ -324,20 +324,20 @@
         if self.is_stale:
             # No host had an answer of the store for a while: entries removed now may
             # have lapsed during an outage.
-            copy.note_return(now=now)
+            copy.record_store_return(now=now)
         is_outdated = update.revision < copy.revision
         changes = () if is_outdated else update.changes
-        is_equal = copy.foresee(changes) == update.fingerprint
+        is_equal = copy.compute_fingerprint_with(changes) == update.fingerprint
         if is_outdated and not is_equal:
             return True  # The sender lags behind this host and confirms nothing.
         if is_equal or copy.revision >= update.base:
             announced = FeedChanges(revision=update.revision, changes=changes)
-            if copy.take_changes(announced, now=now):
+            if copy.apply_changes(announced, now=now):
                 self._report_change(host)
         if is_equal:
             # Hosts that listed the feed at another revision than the holder have the
             # same entries; comparing revisions, they would keep asking the store.
-            copy.adopt(update.revision)
+            copy.advance_revision(update.revision)
             self._confirmed_at = now
         return is_equal
 
@@ -372,7 +372,7 @@
         if not isinstance(answer, FeedChanges):
             return False
         self._confirmed_at = trio.current_time()
-        if self.copy.take_changes(answer, now=self._confirmed_at):
+        if self.copy.apply_changes(answer, now=self._confirmed_at):
             self._report_change("store")
         return self._matches(update)
 
@@ -420,7 +420,7 @@
         buckets: tuple[int, ...] | None = None,
     ) -> bool:
         now = trio.current_time()
-        has_changed = self.copy.take_listing(listing, now=now, buckets=buckets)
+        has_changed = self.copy.apply_listing(listing, now=now, buckets=buckets)
         if has_changed or not self.is_loaded:
             self.is_loaded = True
             self._report_change(source)
@@ -428,10 +428,10 @@
 
     async def _drop_lapsed(self) -> None:
         while True:
-            due = self.copy.next_due
+            due = self.copy.next_lapse_at
             now = trio.current_time()
             if due is not None and due <= now:
-                if self.copy.settle(now=now):
+                if self.copy.drop_lapsed(now=now):
                     self._report_change("lapse")
                 continue
             await trio.sleep(LAPSE_GRACE_S / 4 if due is None else due - now)
--- a/src/lavendergap/entry/fleet.py
+++ b/src/lavendergap/entry/fleet.py
@@ -49,13 +49,13 @@
     def _is_doubtful(self, host: str) -> bool:
         return host in self._avoided_until or host in self._suspects
 
-    def stands_in(self, host: str, data_centres: Collection[str]) -> bool:
+    def is_in_data_centre(self, host: str, data_centres: Collection[str]) -> bool:
         """Return whether a host is known to be in one of `data_centres`."""
         if self._placement is None:
             return False
         return self._placement.get_data_centre(host) in data_centres
 
-    def shun(self, host: str, *, now: float) -> None:
+    def avoid(self, host: str, *, now: float) -> None:
         """Avoid a host for a while after it did not answer or refused a channel.
 
         Membership needs seconds to detect a dead host; until then each query would lose
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -35,13 +35,13 @@
 from ..transport.forward import ForwardClient
 from ..transport.gateway import GatewayApp, GatewayHandlers
 from ..transport.gossip import GossipMetrics, open_gossip, run_gossip
+from .activeconfig import ActiveConfig
 from .adapter import Adapter
 from .discovery import Discovery, keep_channels
 from .feedpeers import FeedChannels
 from .fleet import Fleet
 from .forwarding import Forwarder
 from .hostfeeds import HostFeeds
-from .inforce import ActiveConfig
 from .livehosts import LiveHosts
 from .owner import Owner
 from .peers import PeerService
@@ -169,7 +169,9 @@
             keep_channels,
             fleet=self._fleet,
             dialer=self._dialer,
-            get_groups=lambda: self._catalog.places if self._catalog else (),
+            get_groups=lambda: (
+                self._catalog.shard_data_centres if self._catalog else ()
+            ),
         )
         nursery.start_soon(keep)
         nursery.start_soon(self._sweep)
@@ -264,7 +266,7 @@
         return ForwardClient(
             server=server,
             idle_limit=idle_limit,
-            names=self._adapter.names,
+            names=self._adapter.header_names,
             nursery=self._nursery,
         )
 
@@ -278,7 +280,7 @@
             is_leaving=lambda: self._is_leaving,
         )
         self._callers = GatewayApp(
-            handlers=handlers, names=self._adapter.names, cores=self._host.cores
+            handlers=handlers, names=self._adapter.header_names, cores=self._host.cores
         )
         admin = AdminApp(get_unready=self._get_unready, get_status=self._get_status)
         for app, address in (
@@ -300,7 +302,7 @@
     async def _gossip(self) -> None:
         self._membership.join(self._host.seeds)
         await run_gossip(
-            self._membership, self._endpoint, on_change=self._live_hosts.take_event
+            self._membership, self._endpoint, on_change=self._live_hosts.handle_event
         )
 
     def _probe(self, name: str) -> None:
@@ -332,7 +334,7 @@
             warmup=WarmupBound(
                 factor=bounds.cold_rate_factor, slack=bounds.cold_rate_slack
             ),
-            before=self._catalog,
+            previous=self._catalog,
         )
         self._settings = Settings(
             deployment=self._settings.deployment,
@@ -343,7 +345,7 @@
             control=CONTROL,
         )
         self._owner.replace(self._settings)
-        self._placement.replace_servers(catalog.places, catalog.sets)
+        self._placement.replace_servers(catalog.shard_data_centres, catalog.shard_sets)
 
     def _may_warm(self, group: str) -> bool:
         """Return whether this host sends to a group's cold servers for its data centre.
@@ -351,7 +353,7 @@
         A host whose list of servers is stale may not: it may be partitioned, and
         another host may have taken over.
         """
-        is_first = self._placement.get_host_beside(group) == self._host.name
+        is_first = self._placement.get_first_host_nearby(group) == self._host.name
         return is_first and self._feeds.has_fresh_servers
 
     # Readiness and status.
@@ -383,7 +385,7 @@
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
-            self._owner.close_unused()
+            self._owner.close_idle_runners()
             self._fleet.expire_avoided(now=trio.current_time())
 
     async def _poll_settings_file(self) -> None:
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -19,7 +19,7 @@
     StartAttempt,
     WithholdHedge,
 )
-from ..coordination.contents import identify_content
+from ..coordination.contentids import identify_content
 from ..coordination.hedging import KindLatencies
 from ..coordination.scheduler import GroupScheduler
 from ..logs import log_decision
--- a/src/lavendergap/entry/hostfeeds.py
+++ b/src/lavendergap/entry/hostfeeds.py
@@ -5,8 +5,9 @@
 
 import trio
 
-from ..coordination.feeds import use_whole
+from ..coordination.feeds import summarize_whole
 from ..protocol.messages import FeedFetch, FeedState, FeedUpdate, StrikeReport
+from .activeconfig import ActiveConfig
 from .adapter import (
     EVACUATIONS_FEED,
     ROUTES_FEED,
@@ -16,7 +17,6 @@
 )
 from .feedpeers import FeedChannels
 from .feeds import RELAXED_TIMING, FeedReader
-from .inforce import ActiveConfig
 from .quarantine import QuarantineKeeper
 
 
@@ -42,13 +42,15 @@
         self._quarantine = quarantine
         make_reader = partial(
             FeedReader,
-            source=adapter.source,
+            source=adapter.feed_source,
             peers=channels,
             random=random,
             nursery=nursery,
         )
         self._routes = make_reader(
-            feed=ROUTES_FEED, on_change=active_config.use_routes, summarize=use_whole
+            feed=ROUTES_FEED,
+            on_change=active_config.use_routes,
+            summarize=summarize_whole,
         )
         self._servers = make_reader(
             feed=SERVERS_FEED,
@@ -58,7 +60,7 @@
         self._strikes = make_reader(
             feed=STRIKES_FEED,
             on_change=quarantine.use_entries,
-            summarize=use_whole,
+            summarize=summarize_whole,
             timing=RELAXED_TIMING,
         )
         self._readers = {
@@ -70,7 +72,7 @@
             self._evacuations = make_reader(
                 feed=EVACUATIONS_FEED,
                 on_change=active_config.use_evacuations,
-                summarize=use_whole,
+                summarize=summarize_whole,
             )
             self._readers[EVACUATIONS_FEED] = self._evacuations
 
@@ -111,7 +113,7 @@
         reader = self._readers.get(update.feed)
         if reader is None:
             return
-        if update.passes_on:
+        if update.should_relay:
             reader.receive(
                 update, host=host, on_applied=partial(self._channels.relay, update)
             )
@@ -121,7 +123,7 @@
     def receive_strike(self, report: StrikeReport) -> None:
         """Apply a peer's strike; forward it if it is for this data centre's hosts."""
         self._quarantine.receive(report.strike)
-        if report.passes_on:
+        if report.should_relay:
             self._channels.relay_strike(report.strike)
 
     def make_state(self, fetch: FeedFetch) -> FeedState:
--- a/src/lavendergap/entry/livehosts.py
+++ b/src/lavendergap/entry/livehosts.py
@@ -11,7 +11,7 @@
 
 # Seconds between two applications of member changes. The delay is harmless: detecting
 # a lost host takes longer, and queries avoid it before that.
-PAUSE = 0.1
+APPLY_INTERVAL_S = 0.1
 
 
 class LiveHosts:
@@ -37,7 +37,7 @@
         self._data_centres: dict[str, str] = {}
         self._has_changed = trio.Event()
 
-    def take_event(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Record that members have changed, for `run` to apply."""
         match event:
             case MemberChanged():
@@ -51,10 +51,10 @@
             await self._has_changed.wait()
             self._has_changed = trio.Event()
             self._apply_changes()
-            await trio.sleep(PAUSE)
+            await trio.sleep(APPLY_INTERVAL_S)
 
     def _apply_changes(self) -> None:
-        data_centres = self._membership.places()
+        data_centres = self._membership.get_data_centres()
         # Needed even if the same hosts are live: a replaced host has a new address.
         members = self._membership.members()
         self._fleet.replace_live(
--- a/src/lavendergap/entry/owner.py
+++ b/src/lavendergap/entry/owner.py
@@ -168,7 +168,7 @@
             if runner is not None:
                 runner.cancel(call.call_id)
 
-    def close_unused(self) -> None:
+    def close_idle_runners(self) -> None:
         """Close the runners of groups without calls for `idle_connection_ms`."""
         limit = self._settings.control.idle_connection_ms / 1_000
         now = trio.current_time()
--- a/src/lavendergap/entry/quarantine.py
+++ b/src/lavendergap/entry/quarantine.py
@@ -5,7 +5,7 @@
 import trio
 
 from .. import metrics
-from ..coordination.contents import identify_attempt, identify_content
+from ..coordination.contentids import identify_attempt, identify_content
 from ..coordination.quarantine import Quarantine
 from ..logs import Category, get_logger, log_decision
 from ..state.forwarding import ForwardedRequest
--- a/src/lavendergap/entry/runs.py
+++ b/src/lavendergap/entry/runs.py
@@ -98,7 +98,7 @@
         limit = min(CONNECT_LIMIT_S, left * CONNECT_SHARE)
         channel = await self._client.open_verified(host, limit=limit)
         if channel is None:
-            self._fleet.shun(host, now=trio.current_time())
+            self._fleet.avoid(host, now=trio.current_time())
             return NotRun(step=Step.ROUTE, peer=host, reason=Reason.REFUSED_CONNECTION)
         left = call.deadline - trio.current_time()
         if left <= 0:
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -11,7 +11,7 @@
 from ..coordination.calls import Call, FinishCall
 from ..coordination.gate import is_slow
 from ..coordination.hedging import HEDGE_GOAL_SHARE
-from ..coordination.joining import ROUNDING, Join
+from ..coordination.joining import SHARE_TOLERANCE, Join
 from ..coordination.pinning import Pinning
 from ..coordination.records import merge_greatest
 from ..logs import log_decision
@@ -304,7 +304,7 @@
         if greatest is None or greatest.data_centres is None:
             return True
         is_own = host == self._fleet.own_name
-        return is_own or self._fleet.stands_in(host, greatest.data_centres)
+        return is_own or self._fleet.is_in_data_centre(host, greatest.data_centres)
 
     def _send_to_owner(
         self, host: str, shards: list[Shard], *, is_repeat: bool
@@ -531,7 +531,7 @@
     ) -> None:
         """Mark the version gone; without another snapshot, report the shard missing."""
         version = self._snapshot.version
-        pinning.mark_gone(shard=shard.name, version=version, now=now)
+        pinning.record_refusal(shard=shard.name, version=version, now=now)
         outcome = answer.outcome
         if pinning.choose(now=now).version == version:
             outcome = Unknown(
@@ -548,7 +548,7 @@
         sub_query.open_shards.clear()
         self._send_cancel(sub_query, tuple(shard.name for shard in shards))
         now = trio.current_time()
-        self._fleet.shun(sub_query.host, now=now)
+        self._fleet.avoid(sub_query.host, now=now)
         log_decision(
             logger,
             "owner lost",
@@ -661,7 +661,7 @@
         # The records must come from exactly the shards whose proofs are attached;
         # otherwise the answer would claim shards that it does not cover.
         is_consistent = coverage.n_answered == len(self._proofs)
-        is_enough = coverage.share + ROUNDING >= policy.min_share
+        is_enough = coverage.share + SHARE_TOLERANCE >= policy.min_share
         if self._proofs and is_consistent and is_enough:
             return MergedRecords(
                 records=merge_greatest(self._records, n_wanted=greatest.n_wanted),
--- a/src/lavendergap/protocol/messages.py
+++ b/src/lavendergap/protocol/messages.py
@@ -180,7 +180,8 @@
     empty, the message confirms that the store had nothing newer a moment ago.
     `fingerprint` is that of the sender's copy after the changes; a receiver with the
     same fingerprint is up to date, whatever revisions the two copies have. With
-    `passes_on` the receiver relays the message to the other hosts of its data centre.
+    `should_relay` the receiver relays the message to the other hosts of its data
+    centre.
     """
 
     feed: str
@@ -188,7 +189,7 @@
     revision: int
     changes: tuple[FeedChange, ...]
     fingerprint: int
-    passes_on: bool = False
+    should_relay: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -220,12 +221,12 @@
     """A strike that the sender observed; no reply.
 
     Sent directly, since the caller's retry may reach another host milliseconds later,
-    before the store has distributed the strike. With `passes_on` the receiver relays
+    before the store has distributed the strike. With `should_relay` the receiver relays
     the message to the other hosts of its data centre.
     """
 
     strike: Strike
-    passes_on: bool
+    should_relay: bool
 
 
 Message = (
--- a/src/lavendergap/protocol/packing.py
+++ b/src/lavendergap/protocol/packing.py
@@ -94,7 +94,7 @@
     revision: int
     changes: list[tuple[str, bytes | None]]
     fingerprint: int
-    passes_on: bool
+    should_relay: bool
     # All changes, compressed; `changes` is then empty.
     deflated: bytes = b""
 
@@ -122,7 +122,7 @@
     host: str
     servers: tuple[str, ...]
     is_trial: bool
-    passes_on: bool
+    should_relay: bool
 
 
 _Packed = (
@@ -224,7 +224,7 @@
             update.revision,
             changes,
             update.fingerprint,
-            update.passes_on,
+            update.should_relay,
             deflated,
         )
     )
@@ -260,7 +260,7 @@
 
 
 def pack_strike_report(frame_id: int, report: StrikeReport) -> bytes:
-    """Return the bytes of a Struck, without the length prefix."""
+    """Return the bytes of a StrikeReport, without the length prefix."""
     strike = report.strike
     return _encode(
         _PackedStrikeReport(
@@ -270,7 +270,7 @@
             strike.host,
             strike.servers,
             strike.is_trial,
-            report.passes_on,
+            report.should_relay,
         )
     )
 
@@ -318,7 +318,7 @@
             FeedChange(name=name, body=body) for name, body in packed.changes
         ),
         fingerprint=packed.fingerprint,
-        passes_on=packed.passes_on,
+        should_relay=packed.should_relay,
     )
 
 
@@ -339,7 +339,7 @@
         servers=packed.servers,
         is_trial=packed.is_trial,
     )
-    return StrikeReport(strike=strike, passes_on=packed.passes_on)
+    return StrikeReport(strike=strike, should_relay=packed.should_relay)
 
 
 def _unpack_answers(packed: _PackedAnswers) -> Answers:
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -11,7 +11,7 @@
 
 from .. import metrics
 from ..coordination.arrivals import Arrivals, compute_goal, count_parts
-from ..coordination.contents import identify_content
+from ..coordination.contentids import identify_content
 from ..coordination.reserve import AnswerReserve
 from ..coordination.routing import RouteIndex
 from ..logs import Category, get_logger, log_decision
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -232,7 +232,7 @@
         for port in (3, 4):
             address = Address(ip="127.0.0.1", port=port)
             assert await adapter.register_host("ptl-a-1", address)
-            listing = await adapter.source.list_feed(HOSTS_FEED, allow_stale=False)
+            listing = await adapter.feed_source.list_feed(HOSTS_FEED, allow_stale=False)
             assert isinstance(listing, FeedListing)
             [entry] = listing.entries
             assert adapter.read_host(entry.body) == address
@@ -240,7 +240,7 @@
     async def test_strikes_are_written_listed_and_removed(self, store):
         _, client = store
         adapter = PlatformAdapter.__new__(PlatformAdapter)
-        adapter.source = client
+        adapter.feed_source = client
         strike = Strike(
             name="c0.7", content="c0", host="a-1", servers=("i-1",), is_trial=True
         )
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -61,7 +61,9 @@
         n_hosts=n_hosts,
         evacuated=evacuated,
     )
-    return {service.name: service for service in catalog.services}, catalog.places
+    return {
+        service.name: service for service in catalog.services
+    }, catalog.shard_data_centres
 
 
 class TestGroups:
@@ -170,7 +172,7 @@
             servers=servers,
             budget=BUDGET,
             n_hosts=n_hosts,
-            before=before,
+            previous=before,
         )
 
     def list_unchanged(self, before: Catalog, after: Catalog) -> set[str]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from lavendergap.coordination.registration import REGISTERED_A_PLACE
+from lavendergap.coordination.registration import REGISTERED_PER_DATA_CENTRE
 from lavendergap.entry.discovery import Discovery
 from lavendergap.state.feeds import FeedEntry, FeedListing, StoreUnavailable
 from lavendergap.state.hostfile import parse_host_file
@@ -56,7 +56,7 @@
     n_writes: int = 0
 
     @property
-    def source(self):
+    def feed_source(self):
         return self
 
     async def list_feed(self, feed, *, allow_stale):
@@ -92,7 +92,7 @@
     def members(self):
         return (self.own, *self.others)
 
-    def places(self):
+    def get_data_centres(self):
         return {member.name: member.data_centre for member in self.members()}
 
     def live(self):
@@ -127,7 +127,7 @@
         for membership in memberships:
             membership.others = [make_member(n) for n in range(n_hosts)]
         await trio.sleep(20.0)
-        assert store.n_writes == REGISTERED_A_PLACE * N_DATA_CENTRES
+        assert store.n_writes == REGISTERED_PER_DATA_CENTRE * N_DATA_CENTRES
         assert store.n_lists <= n_hosts + 2 * store.n_writes
 
     async def test_hosts_with_valid_entries_write_nothing_after_a_restart(
@@ -189,9 +189,9 @@
             membership.others = [make_member(n) for n in numbers]
         await trio.sleep(10.0)
         first = set(store.entries)
-        assert len(first) == REGISTERED_A_PLACE
+        assert len(first) == REGISTERED_PER_DATA_CENTRE
         left = [n for n in numbers if f"host-{n}" not in first]
         for n in left:
             memberships[n].others = [make_member(other) for other in left]
         await trio.sleep(10.0)
-        assert len(store.entries) == 2 * REGISTERED_A_PLACE
+        assert len(store.entries) == 2 * REGISTERED_PER_DATA_CENTRE
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -14,8 +14,8 @@
 from adapter.store import ObjectStore
 from adapter.translation import KINDS, PlatformAdapter
 from lavendergap.coordination.feeds import FeedCopy
+from lavendergap.entry.activeconfig import ActiveConfig
 from lavendergap.entry.adapter import SERVERS_FEED
-from lavendergap.entry.inforce import ActiveConfig
 from lavendergap.state.feeds import FeedChange, FeedChanges, FeedListing
 from lavendergap.state.settings import Address
 from standins import objectstore
@@ -157,21 +157,21 @@
 
     def test_changes_between_invalid_entries_are_irrelevant(self):
         config = make_active_config()
-        copy = FeedCopy(lapse_grace=2.0, summarize=config.summarize_server)
+        copy = FeedCopy(lapse_grace_s=2.0, summarize=config.summarize_server)
         changes = tuple(FeedChange(name="i-2", body=b) for b in (b"\xff", b"{}", DEEP))
-        assert copy.take_changes(FeedChanges(revision=1, changes=changes[:1]), now=0.0)
-        assert not copy.is_news(changes[1])
-        assert not copy.is_news(changes[2])
-        assert copy.is_news(FeedChange(name="i-2", body=encode()))
+        assert copy.apply_changes(FeedChanges(revision=1, changes=changes[:1]), now=0.0)
+        assert not copy.alters_fingerprint(changes[1])
+        assert not copy.alters_fingerprint(changes[2])
+        assert copy.alters_fingerprint(FeedChange(name="i-2", body=encode()))
 
     def test_an_invalid_entry_replaces_a_valid_one(self):
         config = make_active_config()
-        copy = FeedCopy(lapse_grace=2.0, summarize=config.summarize_server)
+        copy = FeedCopy(lapse_grace_s=2.0, summarize=config.summarize_server)
         good = FeedChange(name="i-1", body=encode())
-        copy.take_changes(FeedChanges(revision=1, changes=(good,)), now=0.0)
+        copy.apply_changes(FeedChanges(revision=1, changes=(good,)), now=0.0)
         wrong = FeedChange(name="i-1", body=encode(address="nowhere"))
-        assert copy.is_news(wrong)
-        copy.take_changes(FeedChanges(revision=2, changes=(wrong,)), now=1.0)
+        assert copy.alters_fingerprint(wrong)
+        copy.apply_changes(FeedChanges(revision=2, changes=(wrong,)), now=1.0)
         config.use_servers(copy.entries, 2)
         assert config.servers == ()
 
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -51,8 +51,8 @@
 
 def make_update(base: int, changes: FeedChanges, **entries: str) -> FeedUpdate:
     """Return the update of a host whose copy has `entries` after `changes`."""
-    copy = FeedCopy(lapse_grace=0.0, summarize=summarize)
-    copy.take_listing(make_listing(changes.revision, **entries), now=0.0)
+    copy = FeedCopy(lapse_grace_s=0.0, summarize=summarize)
+    copy.apply_listing(make_listing(changes.revision, **entries), now=0.0)
     return FeedUpdate(
         feed="servers",
         base=base,
@@ -65,30 +65,30 @@
 class TestRevisions:
     def test_an_older_listing_changes_nothing(self):
         # A read from a lagging replica after a newer one must not revert changes.
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(9, a="new"), now=0.0)
-        assert not copy.take_listing(make_listing(8, a="old"), now=0.0)
-        assert not copy.take_changes(change(8, a="old"), now=0.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(9, a="new"), now=0.0)
+        assert not copy.apply_listing(make_listing(8, a="old"), now=0.0)
+        assert not copy.apply_changes(change(8, a="old"), now=0.0)
         assert copy.entries == {"a": b"new"}
 
     def test_a_listing_removes_entries_that_are_gone(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1", b="2"), now=0.0)
-        assert copy.take_listing(make_listing(2, b="2"), now=1.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1", b="2"), now=0.0)
+        assert copy.apply_listing(make_listing(2, b="2"), now=1.0)
         assert copy.entries == {"b": b"2"}
 
     def test_an_unchanged_entry_is_no_change(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1"), now=0.0)
-        assert not copy.take_changes(change(2, a="1"), now=0.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1"), now=0.0)
+        assert not copy.apply_changes(change(2, a="1"), now=0.0)
         assert copy.revision == 2
 
     def test_an_empty_watch_does_not_advance_the_revision(self):
         # Just before the store drops its history, watches miss a change but return its
         # revision. The next watch from the old one finds that the history is gone.
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="ready"), now=0.0)
-        assert not copy.take_changes(change(5), now=0.5)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="ready"), now=0.0)
+        assert not copy.apply_changes(change(5), now=0.5)
         assert copy.revision == 1
 
 
@@ -96,27 +96,27 @@
     def test_entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back(self):
         # All entries lapse in an outage and vanish when the store returns; live servers
         # register again a second later. No server may be missing meanwhile.
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1", b="2"), now=0.0)
-        copy.note_return(now=10.0)
-        assert not copy.take_listing(make_listing(5), now=10.0)
-        assert copy.next_due == 12.0
-        assert not copy.take_changes(change(6, a="1"), now=11.0)
-        assert not copy.settle(now=11.9)
-        assert copy.settle(now=12.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1", b="2"), now=0.0)
+        copy.record_store_return(now=10.0)
+        assert not copy.apply_listing(make_listing(5), now=10.0)
+        assert copy.next_lapse_at == 12.0
+        assert not copy.apply_changes(change(6, a="1"), now=11.0)
+        assert not copy.drop_lapsed(now=11.9)
+        assert copy.drop_lapsed(now=12.0)
         assert copy.entries == {"a": b"1"}
 
     def test_without_an_outage_removed_entries_are_dropped_at_once(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1"), now=0.0)
-        assert copy.take_changes(change(2, a=None), now=5.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1"), now=0.0)
+        assert copy.apply_changes(change(2, a=None), now=5.0)
         assert copy.entries == {}
 
     def test_long_after_an_outage_removed_entries_are_dropped_at_once(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1"), now=0.0)
-        copy.note_return(now=10.0)
-        assert copy.take_changes(change(2, a=None), now=12.5)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1"), now=0.0)
+        copy.record_store_return(now=10.0)
+        assert copy.apply_changes(change(2, a=None), now=12.5)
 
 
 class FakeStore:
@@ -593,33 +593,38 @@
 
 class TestFingerprints:
     def test_it_depends_on_relevant_content_and_not_on_history(self):
-        one = FeedCopy(lapse_grace=2.0, summarize=summarize)
-        one.take_listing(make_listing(1, a="1#9", b="2"), now=0.0)
-        other = FeedCopy(lapse_grace=2.0, summarize=summarize)
-        other.take_listing(make_listing(4, c="3", a="0"), now=0.0)
-        other.take_changes(change(5, a="1#2", b="2", c=None), now=0.0)
+        one = FeedCopy(lapse_grace_s=2.0, summarize=summarize)
+        one.apply_listing(make_listing(1, a="1#9", b="2"), now=0.0)
+        other = FeedCopy(lapse_grace_s=2.0, summarize=summarize)
+        other.apply_listing(make_listing(4, c="3", a="0"), now=0.0)
+        other.apply_changes(change(5, a="1#2", b="2", c=None), now=0.0)
         assert one.fingerprint == other.fingerprint
-        assert one.foresee(change(6, a="1#7").changes) == other.fingerprint
-        assert one.foresee(change(6, a="7").changes) != other.fingerprint
+        assert (
+            one.compute_fingerprint_with(change(6, a="1#7").changes)
+            == other.fingerprint
+        )
+        assert (
+            one.compute_fingerprint_with(change(6, a="7").changes) != other.fingerprint
+        )
 
     def test_an_entry_kept_after_a_lapse_is_not_part_of_it(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(make_listing(1, a="1", b="2"), now=0.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(make_listing(1, a="1", b="2"), now=0.0)
         before = copy.fingerprint
-        copy.note_return(now=10.0)
-        copy.take_changes(change(2, a=None), now=10.0)
+        copy.record_store_return(now=10.0)
+        copy.apply_changes(change(2, a=None), now=10.0)
         assert "a" in copy.entries
         assert copy.fingerprint != before
-        assert copy.is_news(FeedChange(name="a", body=b"1"))
-        copy.take_changes(change(3, a="1"), now=11.0)
+        assert copy.alters_fingerprint(FeedChange(name="a", body=b"1"))
+        copy.apply_changes(change(3, a="1"), now=11.0)
         assert copy.fingerprint == before
 
 
 class TestCopiesThatDiffer:
     def fill(self, n_servers: int, revision: int, **changed: str) -> FeedCopy:
-        copy = FeedCopy(lapse_grace=2.0, summarize=summarize)
+        copy = FeedCopy(lapse_grace_s=2.0, summarize=summarize)
         entries = {f"i-{n}": "ready" for n in range(n_servers)} | changed
-        copy.take_listing(make_listing(revision, **entries), now=0.0)
+        copy.apply_listing(make_listing(revision, **entries), now=0.0)
         return copy
 
     def send_difference(self, one: FeedCopy, other: FeedCopy) -> int:
@@ -627,7 +632,7 @@
         buckets = one.find_differing(other.bucket_hashes)
         entries = one.select(buckets)
         listing = FeedListing(revision=one.revision, entries=entries)
-        other.take_listing(listing, now=1.0, buckets=buckets)
+        other.apply_listing(listing, now=1.0, buckets=buckets)
         return len(entries)
 
     def test_one_change_takes_a_small_part_of_the_entries(self):
@@ -642,10 +647,12 @@
     def test_any_two_copies_become_equal(self, data):
         names = st.sampled_from([f"i-{n}" for n in range(30)])
         bodies = st.sampled_from(["ready", "leaving"])
-        one, other = (FeedCopy(lapse_grace=2.0, summarize=summarize) for _ in range(2))
+        one, other = (
+            FeedCopy(lapse_grace_s=2.0, summarize=summarize) for _ in range(2)
+        )
         for revision, copy in ((7, one), (3, other)):
             entries = data.draw(st.dictionaries(names, bodies))
-            copy.take_listing(make_listing(revision, **entries), now=0.0)
+            copy.apply_listing(make_listing(revision, **entries), now=0.0)
         self.send_difference(one, other)
         assert dict(other.entries) == dict(one.entries)
         assert other.bucket_hashes == one.bucket_hashes
@@ -664,8 +671,8 @@
     def test_kept_lapsed_entries_are_not_sent_to_peers(self):
         """Guards against copies that differ while one host keeps lapsed entries."""
         one, other = self.fill(9, 1), self.fill(9, 1)
-        one.note_return(now=10.0)
-        one.take_changes(change(2, **{"i-3": None}), now=10.0)
+        one.record_store_return(now=10.0)
+        one.apply_changes(change(2, **{"i-3": None}), now=10.0)
         assert "i-3" in one.entries
         self.send_difference(one, other)
         assert "i-3" not in other.entries
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -13,7 +13,7 @@
 
 from lavendergap.coordination.dissemination import MAX_UPDATE_BYTES, estimate_bytes
 from lavendergap.coordination.documents import Documents, Source
-from lavendergap.coordination.membership import MAX_TABLE_BYTES, Membership
+from lavendergap.coordination.membership import MAX_TABLE_DATAGRAM_BYTES, Membership
 from lavendergap.protocol.gossip import (
     MAX_DATAGRAM_BYTES,
     GossipCodec,
@@ -206,7 +206,7 @@
         digest = documents.digest()
         assert digest.truncated
         n_updates = MAX_UPDATE_BYTES // estimate_bytes(self.LONGEST)
-        n_rows = MAX_TABLE_BYTES // estimate_bytes(self.LONGEST)
+        n_rows = MAX_TABLE_DATAGRAM_BYTES // estimate_bytes(self.LONGEST)
         ack = Ack(
             source=self.LONGEST,
             sequence=2**64 - 1,
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -245,38 +245,38 @@
 
 class TestFeedCopies:
     def test_a_restart_is_news_and_changes_the_fingerprint(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
         before = copy.fingerprint
-        assert copy.is_news(FeedChange(name="a", body=b"2"))
-        assert copy.take_changes(change(3, None, b"2"), now=1.0)
+        assert copy.alters_fingerprint(FeedChange(name="a", body=b"2"))
+        assert copy.apply_changes(change(3, None, b"2"), now=1.0)
         assert copy.entries == {"a": b"2"}
         assert copy.fingerprint != before
 
     def test_a_late_removal_does_not_undo_a_start(self):
         # One peer's removal of the old entry arrives after another's new entry.
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
-        copy.take_changes(change(3, b"2"), now=1.0)
-        copy.take_changes(change(2, None), now=1.1)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
+        copy.apply_changes(change(3, b"2"), now=1.0)
+        copy.apply_changes(change(2, None), now=1.1)
         assert copy.entries == {"a": b"2"}
 
     def test_changes_and_listing_agree_on_two_restarts(self):
-        changed = FeedCopy(lapse_grace=2.0)
-        listed = FeedCopy(lapse_grace=2.0)
+        changed = FeedCopy(lapse_grace_s=2.0)
+        listed = FeedCopy(lapse_grace_s=2.0)
         for copy in (changed, listed):
             first = FeedListing(revision=1, entries=(entry("a", 1),))
-            copy.take_listing(first, now=0.0)
-        changed.take_changes(change(5, None, b"2", None, b"3"), now=1.0)
-        listed.take_listing(FeedListing(revision=5, entries=(entry("a", 3),)), now=1.0)
+            copy.apply_listing(first, now=0.0)
+        changed.apply_changes(change(5, None, b"2", None, b"3"), now=1.0)
+        listed.apply_listing(FeedListing(revision=5, entries=(entry("a", 3),)), now=1.0)
         assert changed.entries == listed.entries == {"a": b"3"}
         assert changed.fingerprint == listed.fingerprint
 
     def test_an_entry_renewed_during_a_store_outage_is_kept(self):
-        copy = FeedCopy(lapse_grace=2.0)
-        copy.take_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
-        copy.note_return(now=1.0)
-        copy.take_changes(change(2, None), now=1.1)
-        copy.take_changes(change(3, b"2"), now=1.2)
-        copy.settle(now=9.0)
+        copy = FeedCopy(lapse_grace_s=2.0)
+        copy.apply_listing(FeedListing(revision=1, entries=(entry("a", 1),)), now=0.0)
+        copy.record_store_return(now=1.0)
+        copy.apply_changes(change(2, None), now=1.1)
+        copy.apply_changes(change(3, b"2"), now=1.2)
+        copy.drop_lapsed(now=9.0)
         assert copy.entries == {"a": b"2"}
--- a/tests/test_livehosts.py
+++ b/tests/test_livehosts.py
@@ -9,7 +9,7 @@
 from lavendergap.coordination.membership import Membership
 from lavendergap.coordination.placement import Placement
 from lavendergap.entry.fleet import Fleet
-from lavendergap.entry.livehosts import PAUSE, LiveHosts
+from lavendergap.entry.livehosts import APPLY_INTERVAL_S, LiveHosts
 from lavendergap.state.gossip import Gossip
 from lavendergap.state.member import DocumentsDigest, Member, MemberState
 from lavendergap.state.settings import Address, Control, Settings
@@ -58,7 +58,7 @@
         gossip = Gossip(source=member, documents=DocumentsDigest(), updates=())
         self.membership.receive(gossip, sender=member.peers, now=trio.current_time())
         for event in self.membership.take_events():
-            self.live.take_event(event)
+            self.live.handle_event(event)
 
     def receive_suspect(self, suspect: Member) -> None:
         """Receive from another host that `suspect` is suspect."""
@@ -66,7 +66,7 @@
         gossip = Gossip(source=source, documents=DocumentsDigest(), updates=(suspect,))
         self.membership.receive(gossip, sender=source.peers, now=trio.current_time())
         for event in self.membership.take_events():
-            self.live.take_event(event)
+            self.live.handle_event(event)
 
 
 class TestManyAtOnce:
@@ -82,8 +82,8 @@
         for number in range(1, n_hosts):
             host.receive_member(make_member(number))
             await trio.sleep(2.0 / n_hosts)
-        await trio.sleep(2 * PAUSE)
-        assert host.n_applied <= 2.0 / PAUSE + 2
+        await trio.sleep(2 * APPLY_INTERVAL_S)
+        assert host.n_applied <= 2.0 / APPLY_INTERVAL_S + 2
         assert len(host.fleet.live) == n_hosts
 
     async def test_the_first_change_is_applied_at_once(self, autojump_clock, nursery):
@@ -100,7 +100,7 @@
             host.receive_member(make_member(number))
             await trio.testing.wait_all_tasks_blocked()
         host.receive_member(replace(make_member(3), state=MemberState.LEAVING))
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         assert host.fleet.live == {"host-0", "host-1", "host-2"}
         assert "host-3" not in host.placement.rank("some group")
 
@@ -114,16 +114,16 @@
         nursery.start_soon(host.live.run)
         for number in range(1, 4):
             host.receive_member(make_member(number))
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         ranked = host.fleet.rank("some group")
         first = int(ranked[0].rpartition("-")[2]) or int(ranked[1].rpartition("-")[2])
         suspect = replace(make_member(first), state=MemberState.SUSPECT)
         host.receive_suspect(suspect)
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         assert host.fleet.rank("some group")[-1] == suspect.name
         assert set(host.fleet.rank("some group")) == set(ranked)
         host.receive_member(replace(make_member(first), refutations=1))
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         assert host.fleet.rank("some group") == ranked
 
     def test_an_avoided_host_is_probed_once(self):
@@ -131,10 +131,10 @@
         probed: list[str] = []
         fleet = Fleet(own_name="host-0", settings=SETTINGS, probe=probed.append)
         for now in (1.0, 1.1, 1.2):
-            fleet.shun("host-1", now=now)
+            fleet.avoid("host-1", now=now)
         assert probed == ["host-1"]
         fleet.expire_avoided(now=9.0)
-        fleet.shun("host-1", now=9.0)
+        fleet.avoid("host-1", now=9.0)
         assert probed == ["host-1"] * 2
 
 
@@ -145,11 +145,11 @@
         host = Host()
         nursery.start_soon(host.live.run)
         host.receive_member(make_member(1))
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         n_before = host.n_applied
         moved = Address(ip="127.0.0.1", port=9_999)
         host.receive_member(replace(make_member(1, incarnation=2), peers=moved))
-        await trio.sleep(2 * PAUSE)
+        await trio.sleep(2 * APPLY_INTERVAL_S)
         assert host.fleet.get_address("host-1") == moved
         # Nothing else depends on the address of a peer.
         assert host.n_applied == n_before
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -85,7 +85,7 @@
             FeedChange(name="i-2", body=None),
         ),
         fingerprint=2**64 - 1,
-        passes_on=True,
+        should_relay=True,
     ),
     FeedUpdate(
         feed="routes",
@@ -93,13 +93,13 @@
         revision=5,
         changes=(FeedChange(name="main", body=b"r" * 100_000),),
         fingerprint=0,
-        passes_on=True,
+        should_relay=True,
     ),
     StrikeReport(
         strike=Strike(
             name="c.1", content="c", host="a-1", servers=("i-1", "i-2"), is_trial=True
         ),
-        passes_on=True,
+        should_relay=True,
     ),
     FeedFetch(feed="routes"),
     FeedFetch(feed="servers", hashes=(0, 2**64 - 1)),
@@ -159,27 +159,27 @@
     # Guards against sending long documents uncompressed between data centres, and
     # against frames that exhaust a host's memory when they are decompressed.
 
-    def make_update(self, body: bytes, *, passes_on: bool) -> FeedUpdate:
+    def make_update(self, body: bytes, *, should_relay: bool) -> FeedUpdate:
         return FeedUpdate(
             feed="routes",
             base=1,
             revision=2,
             changes=(FeedChange(name="main", body=body),),
             fingerprint=1,
-            passes_on=passes_on,
+            should_relay=should_relay,
         )
 
     def test_a_long_document_is_compressed(self):
         routes = [f'{{"name": "r{n}", "timeout_ms": 400}}' for n in range(3_000)]
         body = ",".join(routes).encode()
         assert len(body) > 100_000
-        packed = pack_feed_update(1, self.make_update(body, passes_on=True))
+        packed = pack_feed_update(1, self.make_update(body, should_relay=True))
         assert len(packed) < len(body) / 8
 
     def test_a_relayed_document_is_compressed(self):
         """Guards against a relay that fills its link with copies for its neighbours."""
         body = b'{"name": "r1", "timeout_ms": 400},' * 3_000
-        packed = pack_feed_update(1, self.make_update(body, passes_on=False))
+        packed = pack_feed_update(1, self.make_update(body, should_relay=False))
         assert len(packed) < len(body) / 8
 
     def test_a_full_copy_of_a_feed_is_compressed(self):
@@ -191,6 +191,6 @@
         assert unpack(packed).message == state
 
     def test_a_decompression_bomb_is_rejected(self):
-        update = self.make_update(b"0" * (MAX_INFLATED_BYTES + 1), passes_on=True)
+        update = self.make_update(b"0" * (MAX_INFLATED_BYTES + 1), should_relay=True)
         with pytest.raises(BadFrameError):
             unpack(pack_feed_update(1, update))
--- a/tests/test_pinning.py
+++ b/tests/test_pinning.py
@@ -29,15 +29,15 @@
         # Guards against queries that all start over while a version is published that
         # some server has not loaded yet.
         pinning = Pinning(published=publish(7, 8))
-        pinning.mark_gone(shard="s1", version=8, now=10.0)
+        pinning.record_refusal(shard="s1", version=8, now=10.0)
         assert pinning.choose(now=10.1).version == 7
         assert pinning.choose(now=10.0 + REFUSAL_RETRY_S).version == 8
 
     def test_a_version_that_a_shard_dropped_is_not_chosen_again(self):
         pinning = Pinning(published=publish(6, 7))
         pinning.observe(shard="s0", versions=(7,), now=1.0)
-        pinning.mark_gone(shard="s0", version=6, now=1.0)
-        pinning.mark_gone(shard="s1", version=7, now=99.0)
+        pinning.record_refusal(shard="s0", version=6, now=1.0)
+        pinning.record_refusal(shard="s1", version=7, now=99.0)
         assert pinning.choose(now=99.5).version == 7
 
     def test_a_new_version_is_chosen_once_all_shards_reported_it(self):
@@ -67,13 +67,13 @@
     def test_without_a_whole_snapshot_the_most_complete_is_chosen(self):
         pinning = Pinning(published=publish(6, 7))
         for shard, version in (("s0", 7), ("s1", 7), ("s1", 6)):
-            pinning.mark_gone(shard=shard, version=version, now=1.0)
+            pinning.record_refusal(shard=shard, version=version, now=1.0)
         assert pinning.choose(now=1.1).version == 6
 
     def test_records_of_unpublished_versions_are_dropped(self):
         pinning = Pinning(published=publish(1))
         for version in range(2, 200):
-            pinning.mark_gone(shard="s0", version=version - 1, now=version)
+            pinning.record_refusal(shard="s0", version=version - 1, now=version)
             pinning.observe(shard="s0", versions=(version,), now=version)
             shards = ("s0", f"s{version}")
             pinning.replace(publish(version, at=version, shards=shards), now=version)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from lavendergap.coordination.contents import identify_content
+from lavendergap.coordination.contentids import identify_content
 from lavendergap.coordination.quarantine import (
     HOLD_S,
     MAX_STRIKES,
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -8,12 +8,12 @@
     MAX_DIRECT_BYTES,
     MAX_RELAYED_COMPRESSED_BYTES,
     MIN_HOSTS_FOR_RELAY,
-    are_long,
     choose_receivers,
-    leads_place,
+    exceed_direct_limit,
+    fit_local_announcement,
+    fit_remote_announcement,
+    leads_data_centre,
     list_neighbours,
-    may_cross,
-    may_stay,
 )
 from lavendergap.state.feeds import FeedChange
 
@@ -30,7 +30,7 @@
     reached = []
     for receiver in choose_receivers(sender, data_centres):
         reached.append(receiver.host)
-        if receiver.passes_on:
+        if receiver.should_relay:
             reached += list_neighbours(receiver.host, data_centres)
     return reached
 
@@ -50,12 +50,12 @@
         # With few hosts in a data centre, a relay saves too little for the risk that it
         # is frozen.
         data_centres = make_data_centres(4 * (MIN_HOSTS_FOR_RELAY - 1), 4)
-        assert not any(h.passes_on for h in choose_receivers("h-000", data_centres))
+        assert not any(h.should_relay for h in choose_receivers("h-000", data_centres))
 
     def test_senders_seldom_share_a_relay(self):
         data_centres = make_data_centres(77, 4)
         relays = [
-            {h.host for h in choose_receivers(sender, data_centres) if h.passes_on}
+            {h.host for h in choose_receivers(sender, data_centres) if h.should_relay}
             for sender in sorted(data_centres)[:20]
         ]
         shared = sum(bool(relays[0] & other) for other in relays[1:])
@@ -98,14 +98,14 @@
 
     def test_a_large_document_is_announced_with_its_content(self):
         assert len(self.ROUTES) > 100_000
-        assert may_cross(self.make(self.ROUTES))
-        assert may_stay(self.make(self.ROUTES))
+        assert fit_remote_announcement(self.make(self.ROUTES))
+        assert fit_local_announcement(self.make(self.ROUTES))
 
     def test_small_changes_are_sent_to_all_hosts(self):
         for body in (None, b"x" * MAX_DIRECT_BYTES):
-            assert not are_long(self.make(body))
-            assert may_cross(self.make(body))
-            assert may_stay(self.make(body))
+            assert not exceed_direct_limit(self.make(body))
+            assert fit_remote_announcement(self.make(body))
+            assert fit_local_announcement(self.make(body))
 
     @pytest.mark.parametrize(
         ("n_hosts", "n_data_centres"), [(9, 4), (195, 6), (550, 10)]
@@ -114,19 +114,19 @@
         self, n_hosts, n_data_centres
     ):
         data_centres = make_data_centres(n_hosts, n_data_centres)
-        assert are_long(self.make(self.ROUTES))
+        assert exceed_direct_limit(self.make(self.ROUTES))
         receivers = choose_receivers("h-000", data_centres, is_relayed=True)
         assert sum(not receiver.is_near for receiver in receivers) == n_data_centres - 1
         reached = [receiver.host for receiver in receivers]
         for receiver in receivers:
-            if receiver.passes_on:
+            if receiver.should_relay:
                 reached += list_neighbours(receiver.host, data_centres)
         assert sorted(reached) == sorted(data_centres.keys() - {"h-000"})
 
     def test_an_incompressible_document_is_read_from_the_store(self):
         body = Random(1).randbytes(2 * MAX_RELAYED_COMPRESSED_BYTES)
-        assert not may_cross(self.make(body))
-        assert may_stay(self.make(body))
+        assert not fit_remote_announcement(self.make(body))
+        assert fit_local_announcement(self.make(body))
 
 
 class TestDataCentreWatchers:
@@ -135,7 +135,9 @@
     )
     def test_one_host_watches_for_each_data_centre(self, n_hosts, n_data_centres):
         data_centres = make_data_centres(n_hosts, n_data_centres)
-        watchers = [host for host in data_centres if leads_place(host, data_centres)]
+        watchers = [
+            host for host in data_centres if leads_data_centre(host, data_centres)
+        ]
         assert (
             len({data_centres[host] for host in watchers})
             == len(watchers)
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -98,7 +98,7 @@
     def _may_warm(self, host: str) -> bool:
         placement = Placement(own_data_centre=self.places[host])
         placement.replace_hosts(self.views[host])
-        return placement.get_host_beside(GROUP) == host
+        return placement.get_first_host_nearby(GROUP) == host
 
     def find_first(self, place: str) -> str:
         return next(
