--- a/lab/callcost.py
+++ b/lab/callcost.py
@@ -15,7 +15,7 @@
 import trio
 
 from lavendergap.coordination.calls import Call, FinishCall
-from lavendergap.entry.batch import Wanted
+from lavendergap.entry.batch import SubmittedCall
 from lavendergap.entry.owner import Owner
 from lavendergap.state.forwarding import ForwardedRequest
 from lavendergap.state.settings import (
@@ -110,8 +110,8 @@
             done.set()
 
     now = trio.current_time()
-    wanted = [
-        Wanted(
+    submitted = [
+        SubmittedCall(
             call=Call(
                 call_id=owner.make_call_id(),
                 request_id="r1",
@@ -124,16 +124,16 @@
                 idempotent=True,
                 forward=forward,
                 max_attempts=2,
-                wanted_by=now + 0.25,
+                goal_at=now + 0.25,
                 kind="q",
             ),
             finish=finish,
         )
         for service in settings.services
     ]
-    owner.submit(wanted)
+    owner.submit(submitted)
     await done.wait()
-    return len(wanted)
+    return len(submitted)
 
 
 async def _measure(settings: Settings, n_queries: int, pause: float) -> None:
--- a/src/lavendergap/coordination/reserve.py
+++ b/src/lavendergap/coordination/answerreserve.py
@@ -45,8 +45,8 @@
     >>> reserve = AnswerReserve(cores=0.5)
     >>> round(reserve.get_ms(n_parts=50, now=0.0), 1)
     12.5
-    >>> for took_ms in (40, 41, 44, 60):
-    ...     reserve.note(took_ms=took_ms, now=0.0)
+    >>> for elapsed_ms in (40, 41, 44, 60):
+    ...     reserve.note(elapsed_ms=elapsed_ms, now=0.0)
     >>> [round(reserve.get_ms(n_parts=50, now=now), 1) for now in (1.0, 31.0)]
     [48.0, 12.5]
     """
@@ -57,9 +57,9 @@
         self._measured_ms = 0.0
         self._measured_at = float("-inf")
 
-    def note(self, *, took_ms: float, now: float) -> None:
+    def note(self, *, elapsed_ms: float, now: float) -> None:
         """Record the time one joined answer took, in milliseconds; `now` in seconds."""
-        self._samples.append((now, took_ms))
+        self._samples.append((now, elapsed_ms))
         recent = [took for at, took in self._samples if now - at <= MAX_SAMPLE_AGE_S]
         self._measured_at = now
         self._measured_ms = 0.0
--- a/src/lavendergap/coordination/bodies.py
+++ b/src/lavendergap/coordination/answersizes.py
@@ -6,15 +6,15 @@
 from ..state.outcome import Answered, Outcome
 
 # Room for 20,000 tickets with answers of 200 bytes each, at issuer and witness.
-MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_KEPT_ANSWER_BYTES = 4 * 1024 * 1024
 
 K = TypeVar("K", bound=Hashable)
 
 
-class KeptBodies(Generic[K]):
+class AnswerSizes(Generic[K]):
     """Counts the bytes of kept answers and selects the oldest ones to drop.
 
-    >>> bodies = KeptBodies[int](max_bytes=10)
+    >>> bodies = AnswerSizes[int](max_bytes=10)
     >>> bodies.add(1, Answered(body=b"12345678"))
     ()
     >>> bodies.add(2, Answered(body=b"12345678"))
--- a/src/lavendergap/coordination/budget.py
+++ b/src/lavendergap/coordination/budget.py
@@ -10,11 +10,11 @@
     are added over time, so that a group with few calls can still retry.
 
     >>> budget = Budget(share=0.5, burst=1.0, per_second=0.0)
-    >>> budget.spend(now=0.0), budget.spend(now=0.0)
+    >>> budget.try_spend(now=0.0), budget.try_spend(now=0.0)
     (True, False)
-    >>> budget.earn()
-    >>> budget.earn()
-    >>> budget.spend(now=0.0)
+    >>> budget.record_call()
+    >>> budget.record_call()
+    >>> budget.try_spend(now=0.0)
     True
     """
 
@@ -47,12 +47,12 @@
         self.burst = burst
         self.per_second = per_second
 
-    def earn(self) -> None:
+    def record_call(self) -> None:
         """Count one call."""
         tokens = self.tokens + self.share
         self.tokens = tokens if tokens < self.burst else self.burst
 
-    def spend(self, *, now: float) -> bool:
+    def try_spend(self, *, now: float) -> bool:
         """Spend a token for one extra attempt; return False if there is none."""
         if self.share <= 0.0:
             return False
--- a/src/lavendergap/coordination/arrivals.py
+++ b/src/lavendergap/coordination/callerdelay.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Arrival:
+class CallerDelay:
     """Time that a request has used up of its goal, and the round trip to its caller.
 
     In milliseconds. `spent_ms` is 0 if it is not known.
@@ -69,7 +69,7 @@
         return max(self.present_ms, self.last_ms)
 
 
-class Arrivals:
+class CallerDelays:
     """Estimates the caller's wait before a request is read and after its answer.
 
     A caller counts its wait from before it opens a connection, and states with each
@@ -80,14 +80,14 @@
     Without the estimate, answers held for stragglers until just before the goal would
     reach their callers just after it.
 
-    >>> arrivals = Arrivals()
+    >>> delays = CallerDelays()
     >>> def note(left_ms, port):
-    ...     return arrivals.note(
+    ...     return delays.note(
     ...         "search", left_ms=left_ms, goal_ms=248, connection=port, now=0.0)
     >>> for port in range(8):
     ...     opened, used_again = note(3_017, port), note(3_023, port)
     >>> opened, used_again.outside_ms
-    (Arrival(spent_ms=6, round_trip_ms=6), 6.0)
+    (CallerDelay(spent_ms=6, round_trip_ms=6), 6.0)
     """
 
     def __init__(self) -> None:
@@ -103,7 +103,7 @@
         goal_ms: float,
         connection: object,
         now: float,
-    ) -> Arrival:
+    ) -> CallerDelay:
         """Record a request that states `left_ms`, and return what it has used up.
 
         `connection` is any key that identifies the connection; `now` is in seconds.
@@ -119,7 +119,7 @@
             spent = 0.0
         elif is_first and known is not None:
             self._round_trips_ms.append(spent)
-        return Arrival(spent_ms=spent, round_trip_ms=self._get_round_trip())
+        return CallerDelay(spent_ms=spent, round_trip_ms=self._get_round_trip())
 
     def _note_connection(self, connection: object) -> bool:
         """Record a request and return whether it is its connection's first."""
@@ -147,12 +147,12 @@
         return median(self._round_trips_ms)
 
 
-def compute_goal(route: Route, arrival: Arrival, *, reserve_ms: float) -> float:
+def compute_goal(route: Route, delay: CallerDelay, *, reserve_ms: float) -> float:
     """Return the milliseconds after which to answer without the stragglers.
 
     `reserve_ms` is the time this host needs from then to the last byte of the answer.
     """
-    goal_ms = route.goal_ms - arrival.outside_ms - reserve_ms
+    goal_ms = route.goal_ms - delay.outside_ms - reserve_ms
     return min(max(goal_ms, MIN_GOAL_SHARE * route.goal_ms), route.timeout_ms)
 
 
--- a/src/lavendergap/coordination/calls.py
+++ b/src/lavendergap/coordination/calls.py
@@ -21,17 +21,17 @@
 
     `call_id` is unique within the scheduler; `request_id` is for the logs. `version` is
     the index version that the query is pinned to, or 0 for any. `deadline` and
-    `wanted_by` are seconds on the loop's monotonic clock. An answer is most useful by
-    `wanted_by`; 0 means at any time up to the deadline.
+    `goal_at` are seconds on the loop's monotonic clock. An answer is most useful by
+    `goal_at`; 0 means at any time up to the deadline.
 
     `forward` is set for a request that is forwarded unchanged. `max_attempts` limits
     the servers that the call is sent to; 0 leaves that to the scheduler. `is_repeat` is
     set if another host may have sent the call already; it then counts as an extra call.
     Calls of one `kind` take about as long at every server, also of other groups; if it
     is empty, the call is compared with the group's own calls. Of waiting calls, those
-    of the lowest `priority` go first. With `ends_with_server`, a call is not retried
-    after its server ended: its sender sees all shards of the query and decides. Only
-    servers in `data_centres` may run the call; None means all.
+    of the lowest `priority` go first. With `no_retry_after_server_end`, a call is not
+    retried after its server ended: its sender sees all shards of the query and decides.
+    Only servers in `data_centres` may run the call; None means all.
     """
 
     call_id: int
@@ -46,10 +46,10 @@
     forward: ForwardedRequest | None = None
     max_attempts: int = 0
     is_repeat: bool = False
-    wanted_by: float = 0.0
+    goal_at: float = 0.0
     priority: int = 0
     kind: str = ""
-    ends_with_server: bool = False
+    no_retry_after_server_end: bool = False
     data_centres: frozenset[str] | None = None
 
 
--- a/src/lavendergap/coordination/choice.py
+++ b/src/lavendergap/coordination/choice.py
@@ -120,8 +120,8 @@
 def _explain(possible: list[Replica], best: Replica, now: float) -> str:
     since = now - REPORT_LIFETIME_S
     loads = [
-        f"{r.server.name}={r.in_flight}+{r.foreign}/{r.server.slots}"
-        if r.foreign and r.foreign_at > since
+        f"{r.server.name}={r.in_flight}+{r.other_calls}/{r.server.slots}"
+        if r.other_calls and r.other_calls_at > since
         else f"{r.server.name}={r.in_flight}/{r.server.slots}"
         for r in possible
     ]
--- a/src/lavendergap/coordination/hedging.py
+++ b/src/lavendergap/coordination/hedging.py
@@ -25,7 +25,7 @@
 STRAGGLER_MEDIAN_FACTOR = 2.0
 # A call with a goal is not hedged before this share of the time to it. Most calls that
 # are merely slow have answered by then, and a hedge still has enough time.
-HEDGE_GOAL_SHARE = 0.35
+EARLIEST_HEDGE_SHARE = 0.35
 # A call with a goal is hedged by this share of the time to it. The quantile alone may
 # be so high that a hedge would come too late to help.
 LATEST_HEDGE_SHARE = 0.5
@@ -117,7 +117,7 @@
         return latest
     # With a goal of less than two calls, a hedge would help few of them.
     latest = max(latest, STRAGGLER_MEDIAN_FACTOR * (recent.median or 0.0))
-    return min(latest, max(recent.delay, HEDGE_GOAL_SHARE * left))
+    return min(latest, max(recent.delay, EARLIEST_HEDGE_SHARE * left))
 
 
 class KindLatencies:
--- a/src/lavendergap/coordination/issuer.py
+++ b/src/lavendergap/coordination/issuer.py
@@ -27,7 +27,7 @@
     is_ticket_name,
     verify_mac,
 )
-from .bodies import MAX_BODY_BYTES, KeptBodies
+from .answersizes import MAX_KEPT_ANSWER_BYTES, AnswerSizes
 
 DIGEST_BYTES = 16
 
@@ -99,7 +99,7 @@
         secret: bytes,
         max_tickets: int,
         ticket_lifetime_ms: int,
-        max_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_KEPT_ANSWER_BYTES,
     ) -> None:
         self.peer = peer
         self.max_tickets = max_tickets
@@ -110,7 +110,7 @@
         self._records: dict[int, _Record] = {}
         self._unconfirmed: dict[int, None] = {}
         self._witnesses: dict[str, Peer] = {}
-        self._bodies = KeptBodies[int](max_bytes=max_body_bytes)
+        self._bodies = AnswerSizes[int](max_bytes=max_body_bytes)
         self._closed = False
 
     def __len__(self) -> int:
--- a/src/lavendergap/coordination/gate.py
+++ b/src/lavendergap/coordination/querylimiter.py
@@ -26,18 +26,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Entered:
+class Admitted:
     """The query may start now."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Waiting:
+class Queued:
     """The query is queued until `pop_ready` returns it or `leave_queue` removes it."""
 
     number: int
 
 
-class Gate:
+class QueryLimiter:
     """Limits the queries of one service that run at once on this host.
 
     The limit grows slowly while queries are complete and in time. It shrinks when a
@@ -50,11 +50,11 @@
     shrink alike and grow in proportion to their `weight`, so that the services' shares
     approach their weights, whatever their numbers of callers.
 
-    >>> gate = Gate()
-    >>> gate.enter(now=0.0, left=0.28)
-    Entered()
-    >>> gate.leave(now=0.02, started=0.0, is_congested=False)
-    >>> gate.n_running
+    >>> limiter = QueryLimiter()
+    >>> limiter.enter(now=0.0, left=0.28)
+    Admitted()
+    >>> limiter.leave(now=0.02, started=0.0, is_congested=False)
+    >>> limiter.n_running
     0
     """
 
@@ -68,12 +68,12 @@
         self._last_number = 0
         self._last_cut_at: float | None = None
 
-    def enter(self, *, now: float, left: float) -> Entered | Waiting | NotRun:
+    def enter(self, *, now: float, left: float) -> Admitted | Queued | NotRun:
         """Admit or queue a query with `left` seconds to its deadline, or refuse it."""
         n_ahead = len(self._queue) - len(self._abandoned)
         if n_ahead == 0 and self.n_running < self._get_limit():
             self.n_running += 1
-            return Entered()
+            return Admitted()
         # Little's law, from the limit and the mean time of queries. A measured arrival
         # rate would drop in a quiet hour, and the next burst of callers would be
         # refused.
@@ -87,10 +87,10 @@
             )
         self._last_number += 1
         self._queue.append(self._last_number)
-        return Waiting(number=self._last_number)
+        return Queued(number=self._last_number)
 
     def leave(self, *, now: float, started: float, is_congested: bool) -> None:
-        """Record the end of a query that entered at `started`."""
+        """Record the end of a query admitted at `started`."""
         was_full = self.n_running >= self._get_limit()
         self.n_running -= 1
         # Congested queries count too: if all are congested, there are no others, and
@@ -110,7 +110,7 @@
             self.limit = min(MAX_LIMIT, self.limit + step)
 
     def _cut_limit(self, now: float, started: float) -> None:
-        # Queries that entered before the last cut met the old limit. If each of them
+        # Queries admitted before the last cut met the old limit. If each of them
         # cut it again, one congestion would reduce it to the minimum.
         if self._last_cut_at is not None and started < self._last_cut_at:
             return
--- a/src/lavendergap/coordination/replicas.py
+++ b/src/lavendergap/coordination/replicas.py
@@ -89,13 +89,13 @@
         "backoff_until",
         "ejected_until",
         "n_ejections",
-        "blame",
-        "is_on_trial",
+        "failure_score",
+        "is_half_open",
         "ramp_starts_at",
         "slowness",
         "slowness_at",
-        "foreign",
-        "foreign_at",
+        "other_calls",
+        "other_calls_at",
         "_warmup",
     )
 
@@ -119,13 +119,13 @@
         self.backoff_until = -NEVER
         self.ejected_until = -NEVER
         self.n_ejections = 0
-        self.blame = 0.0
-        self.is_on_trial = False
+        self.failure_score = 0.0
+        self.is_half_open = False
         self.ramp_starts_at = ramp_starts_at
         self.slowness = 0.0
         self.slowness_at = -NEVER
-        self.foreign = 0
-        self.foreign_at = -NEVER
+        self.other_calls = 0
+        self.other_calls_at = -NEVER
 
     def limit(self, now: float) -> int:
         """Return how many slots may be in use now; during slow start a part of them.
@@ -135,7 +135,7 @@
         cold_limit = self.server.cold_limit
         if cold_limit is not None and self._warmup.count_left(cold_limit, now) <= 0:
             return 0
-        if self.is_on_trial or self.state == "starting":
+        if self.is_half_open or self.state == "starting":
             return 1
         since = now - self.ramp_starts_at
         slots = self.server.slots
@@ -168,9 +168,9 @@
         the server relative to `fastest_slowness`, that of the fastest replica.
         """
         load = self.in_flight + 1.0
-        age = now - self.foreign_at
+        age = now - self.other_calls_at
         if age < REPORT_LIFETIME_S:
-            load += self.foreign * (1.0 - age / REPORT_LIFETIME_S)
+            load += self.other_calls * (1.0 - age / REPORT_LIFETIME_S)
         score = load / self.server.slots
         if fastest_slowness > 0.0 and self.slowness > 0.0:
             age = (now - self.slowness_at) / SLOWNESS_HALF_LIFE_S
@@ -183,7 +183,7 @@
             elif 1.0 < ratio <= SIMILAR_SLOWNESS_RATIO:
                 ratio = 1.0
             score *= 1.0 + (ratio - 1.0) * weight
-        if now - self.ramp_starts_at < SLOW_START_S or self.is_on_trial:
+        if now - self.ramp_starts_at < SLOW_START_S or self.is_half_open:
             score += 0.5
         return score
 
@@ -227,8 +227,8 @@
         else:
             self.slowness += (elapsed - self.slowness) * self._get_gain(now)
         self.slowness_at = now
-        self.blame = 0.0
-        self.is_on_trial = False
+        self.failure_score = 0.0
+        self.is_half_open = False
         if self.n_ejections:
             # The answer ends the ejection early, but the server still starts slowly.
             if now < self.ejected_until or self.ramp_starts_at < self.ejected_until:
@@ -254,18 +254,18 @@
         """Count a failure; at a total of 1, eject the server for a growing time."""
         if weight <= 0.0 or now < self.ejected_until:
             return
-        self.blame += weight
-        if self.blame < 1.0 and not self.is_on_trial:
+        self.failure_score += weight
+        if self.failure_score < 1.0 and not self.is_half_open:
             return
         wait = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**self.n_ejections)
         # Random, so that owners that saw the same failure do not return together.
         self.ejected_until = now + wait * rng.uniform(0.8, 1.2)
         self.ramp_starts_at = self.ejected_until
         self.n_ejections = min(self.n_ejections + 1, 10)
-        self.blame = 0.0
+        self.failure_score = 0.0
         # After the ejection the server gets one call at a time, and the first failure
         # ejects it again, so that a hanging server costs one late call each time.
-        self.is_on_trial = True
+        self.is_half_open = True
 
     def note_answer(
         self, report: ServerReport, *, started: float, own_in_flight: int, now: float
@@ -291,8 +291,11 @@
             self.versions = report.versions
             self.versions_at = now
             self.versions_from_answer = False
-        foreign = report.in_use + report.queued - self.in_flight
-        if foreign > self.foreign or now - self.foreign_at >= REPORT_LIFETIME_S:
+        other_calls = report.in_use + report.queued - self.in_flight
+        if (
+            other_calls > self.other_calls
+            or now - self.other_calls_at >= REPORT_LIFETIME_S
+        ):
             self._note_load(report, own_in_flight=self.in_flight, now=now)
         if report.state != "serving":
             self.health_was_not_serving = True
@@ -329,8 +332,8 @@
         self.backoff_until = -NEVER
         self.ejected_until = -NEVER
         self.n_ejections = 0
-        self.blame = 0.0
-        self.is_on_trial = False
+        self.failure_score = 0.0
+        self.is_half_open = False
 
     def get_reopen_time(self, now: float) -> float:
         """Return the next time at which the server may take more calls than now."""
@@ -349,8 +352,8 @@
     def _note_load(
         self, report: ServerReport, *, own_in_flight: int, now: float
     ) -> None:
-        self.foreign = max(0, report.in_use + report.queued - own_in_flight)
-        self.foreign_at = now
+        self.other_calls = max(0, report.in_use + report.queued - own_in_flight)
+        self.other_calls_at = now
 
     def _set_state(self, state: str, *, from_answer: bool, now: float) -> None:
         if state != self.state:
--- a/src/lavendergap/coordination/scheduler.py
+++ b/src/lavendergap/coordination/scheduler.py
@@ -176,14 +176,14 @@
         progress = Progress(call=call, may_hedge=may_hedge)
         self._n_calls += 1
         self._admission.arrivals.add(now=now)
-        self._retries.earn()
+        self._retries.record_call()
         if call.idempotent:
-            self._hedges.earn()
+            self._hedges.record_call()
         if self._is_stopping:
             return [self._refuse(progress, Step.ADMIT, Reason.STOPPING)]
         if call.deadline <= now:
             return [self._refuse(progress, Step.ADMIT, Reason.DEADLINE)]
-        if call.is_repeat and not self._retries.spend(now=now):
+        if call.is_repeat and not self._retries.try_spend(now=now):
             self._n_budget_denials += 1
             return [self._refuse(progress, Step.ADMIT, Reason.OVERLOADED)]
         if not self._waiting:
@@ -565,7 +565,11 @@
         if progress.n_attempts >= _limit_attempts(call):
             return False
         failure = progress.unknown
-        if call.ends_with_server and failure is not None and is_server_end(failure):
+        if (
+            call.no_retry_after_server_end
+            and failure is not None
+            and is_server_end(failure)
+        ):
             return False
         if now + self._admission.needed_time >= call.deadline:
             return False
@@ -596,7 +600,7 @@
         # is charged.
         if progress.unknown is None and not self.service.extra.counts_refusals:
             return True
-        return self._retries.spend(now=now)
+        return self._retries.try_spend(now=now)
 
     # Timers and hedges.
 
@@ -621,7 +625,7 @@
         if progress.n_attempts >= _limit_attempts(progress.call):
             return NEVER
         started = progress.attempts[-1].started
-        delay = choose_hedge_delay(recent, left=call.wanted_by - started)
+        delay = choose_hedge_delay(recent, left=call.goal_at - started)
         return started + max(MIN_HEDGE_DELAY_S, delay)
 
     def _run_timer(self, progress: Progress, now: float, effects: list[Effect]) -> None:
@@ -655,7 +659,7 @@
             case Chosen(replica=replica) as chosen if replica.ejected_until <= now:
                 if self._is_reserved(progress, now):
                     return []
-                if not self._hedges.spend(now=now):
+                if not self._hedges.try_spend(now=now):
                     self._n_budget_denials += 1
                     return self._withhold(progress, "no budget")
                 progress.n_hedges += 1
--- a/src/lavendergap/coordination/witness.py
+++ b/src/lavendergap/coordination/witness.py
@@ -25,7 +25,7 @@
     WitnessRequest,
     verify_mac,
 )
-from .bodies import MAX_BODY_BYTES, KeptBodies
+from .answersizes import MAX_KEPT_ANSWER_BYTES, AnswerSizes
 
 MAX_ISSUERS = 4096
 
@@ -88,7 +88,7 @@
         max_tickets: int,
         ticket_lifetime_ms: int,
         max_issuers: int = MAX_ISSUERS,
-        max_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_KEPT_ANSWER_BYTES,
     ) -> None:
         self.peer = peer
         self.max_tickets = max_tickets
@@ -99,7 +99,7 @@
         # Ordered by the last message, the least recent first.
         self._issuers: dict[Peer, _IssuerState] = {}
         self._dropped_incarnation = -1
-        self._bodies = KeptBodies[Ticket](max_bytes=max_body_bytes)
+        self._bodies = AnswerSizes[Ticket](max_bytes=max_body_bytes)
 
     def __len__(self) -> int:
         """Return the number of records held."""
--- a/src/lavendergap/entry/admission.py
+++ b/src/lavendergap/entry/admission.py
@@ -2,33 +2,33 @@
 
 import trio
 
-from ..coordination.gate import Entered, Gate, Waiting
+from ..coordination.querylimiter import Admitted, QueryLimiter, Queued
 from ..state.outcome import NotRun, Reason, Step
 
 # A query still waiting after this share of its time is refused. The rest would hardly
 # do for an answer, and the caller has time to retry elsewhere. It is a little more than
-# the gate's own limit for the wait that it expects.
+# the limiter's own bound for the wait that it expects.
 MAX_WAIT_SHARE = 0.3
 TIMEOUT_RETRY_AFTER_MS = 500
 
 
-class GateKeeper:
-    """A service's admission gate and the queries waiting there."""
+class QueryAdmission:
+    """A service's query limiter and the queries queued there."""
 
     def __init__(self) -> None:
-        self.gate = Gate()
+        self.limiter = QueryLimiter()
         self._waiting: dict[int, trio.Event] = {}
 
     async def enter(self, *, deadline: float) -> NotRun | None:
         """Return None once the query may start, or the reason why it may not."""
         now = trio.current_time()
-        verdict = self.gate.enter(now=now, left=deadline - now)
+        verdict = self.limiter.enter(now=now, left=deadline - now)
         match verdict:
-            case Entered():
+            case Admitted():
                 return None
             case NotRun():
                 return verdict
-            case Waiting(number=number):
+            case Queued(number=number):
                 return await self._wait(number, now + MAX_WAIT_SHARE * (deadline - now))
 
     async def _wait(self, number: int, until: float) -> NotRun | None:
@@ -58,12 +58,12 @@
             self.leave(started=now, is_congested=False)
             return
         del self._waiting[number]
-        self.gate.leave_queue(number)
+        self.limiter.leave_queue(number)
 
     def leave(self, *, started: float, is_congested: bool) -> None:
-        """Record the end of a query that entered at `started`; admit waiting ones."""
-        self.gate.leave(
+        """Record the end of a query admitted at `started`; admit queued ones."""
+        self.limiter.leave(
             now=trio.current_time(), started=started, is_congested=is_congested
         )
-        while (number := self.gate.pop_ready()) is not None:
+        while (number := self.limiter.pop_ready()) is not None:
             self._waiting.pop(number).set()
--- a/src/lavendergap/entry/batch.py
+++ b/src/lavendergap/entry/batch.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Wanted:
+class SubmittedCall:
     """A call to be made; `finish` is called when it has ended."""
 
     call: Call
@@ -45,14 +45,14 @@
             return True
         return self.n_calls == 1 and trio.current_time() >= self.single_hedge_at
 
-    def track(self, wanted: Wanted) -> Wanted:
+    def track(self, submitted: SubmittedCall) -> SubmittedCall:
         """Return the call with a `finish` that also counts its answer here."""
 
         def finish(end: FinishCall, versions: tuple[int, ...]) -> None:
             self.n_answered += isinstance(end.outcome, Answered)
-            wanted.finish(end, versions)
+            submitted.finish(end, versions)
 
-        return Wanted(call=wanted.call, finish=finish)
+        return SubmittedCall(call=submitted.call, finish=finish)
 
 
 def make_batch(calls: list[Call]) -> Batch:
@@ -60,6 +60,6 @@
     [first, *_] = calls
     now = trio.current_time()
     single_hedge_at = now
-    if first.ends_with_server:
-        single_hedge_at += LATEST_HEDGE_SHARE * max(0.0, first.wanted_by - now)
+    if first.no_retry_after_server_end:
+        single_hedge_at += LATEST_HEDGE_SHARE * max(0.0, first.goal_at - now)
     return Batch(n_calls=len(calls), single_hedge_at=single_hedge_at)
--- a/src/lavendergap/entry/coordinator.py
+++ b/src/lavendergap/entry/coordinator.py
@@ -8,7 +8,7 @@
 from ..logs import log_decision
 from ..protocol.answers import Refusal, SearchResult
 from ..transport.dialer import Dialer
-from .admission import GateKeeper
+from .admission import QueryAdmission
 from .fleet import Fleet
 from .owner import Owner
 from .search import Query, SearchRun
@@ -35,24 +35,24 @@
         self._dialer = dialer
         self._nursery = nursery
         self._pinnings = pinnings
-        self._gates: dict[str, GateKeeper] = {}
+        self._admissions: dict[str, QueryAdmission] = {}
 
     async def search(self, query: Query) -> SearchResult | Refusal:
         """Answer a query from one snapshot, by its deadline at the latest.
 
         A query that is refused here has reached no backend server.
         """
-        gate = self._gates.setdefault(query.service.name, GateKeeper())
-        gate.gate.weight = query.service.weight
-        refusal = await gate.enter(deadline=query.deadline)
+        admission = self._admissions.setdefault(query.service.name, QueryAdmission())
+        admission.limiter.weight = query.service.weight
+        refusal = await admission.enter(deadline=query.deadline)
         if refusal is not None:
             log_decision(
                 logger,
                 "refuse",
                 request_id=query.request_id,
                 service=query.service.name,
-                n_running=gate.gate.n_running,
-                limit=round(gate.gate.limit, 1),
+                n_running=admission.limiter.n_running,
+                limit=round(admission.limiter.limit, 1),
                 retry_after_ms=refusal.retry_after_ms,
             )
             return Refusal(request_id=query.request_id, outcome=refusal)
@@ -61,7 +61,7 @@
         try:
             run, result = await self._search_pinned(query)
         finally:
-            gate.leave(
+            admission.leave(
                 started=started, is_congested=run is not None and run.is_congested
             )
         return result
--- a/src/lavendergap/entry/forwarding.py
+++ b/src/lavendergap/entry/forwarding.py
@@ -15,7 +15,7 @@
 from ..state.snapshot import Shard, Snapshot
 from ..transport.dialer import Dialer
 from ..transport.gateway import GatewayRequest, GatewayResult
-from .batch import Wanted
+from .batch import SubmittedCall
 from .fleet import Fleet
 from .owner import Owner
 from .quarantine import QuarantineKeeper
@@ -120,10 +120,10 @@
             max_attempts=1 if is_suspect else request.route.max_attempts,
             priority=request.route.priority,
             kind=request.route.name,
-            wanted_by=request.goal,
+            goal_at=request.goal,
             data_centres=self._list_home_data_centres(request.route),
         )
-        self._owner.submit([Wanted(call=call, finish=finish)])
+        self._owner.submit([SubmittedCall(call=call, finish=finish)])
         try:
             await done.wait()
         finally:
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -29,7 +29,7 @@
 from ..transport.backend import BackendClient
 from ..transport.forward import ForwardClient
 from .alarms import Timer, TimerQueue
-from .batch import Batch, FinishCallback, Wanted
+from .batch import Batch, FinishCallback, SubmittedCall
 
 logger = logging.getLogger("lavendergap.route")
 
@@ -146,12 +146,14 @@
             )
         )
 
-    def submit(self, wanted: Wanted, batch: Batch) -> list[StartAttempt]:
+    def submit(self, submitted: SubmittedCall, batch: Batch) -> list[StartAttempt]:
         """Submit a call; return the attempts that start at once, for the log."""
         now = trio.current_time()
         self.last_used_at = now
-        self._finishes[wanted.call.call_id] = batch.track(wanted).finish
-        effects = self.scheduler.submit(wanted.call, now=now, may_hedge=batch.may_hedge)
+        self._finishes[submitted.call.call_id] = batch.track(submitted).finish
+        effects = self.scheduler.submit(
+            submitted.call, now=now, may_hedge=batch.may_hedge
+        )
         return self.apply(effects, is_in_plan=True)
 
     def cancel(self, call_id: int) -> None:
--- a/src/lavendergap/entry/owner.py
+++ b/src/lavendergap/entry/owner.py
@@ -15,7 +15,7 @@
 from ..state.quarantine import Standing
 from ..state.settings import Group, Service, Settings
 from .alarms import TimerQueue
-from .batch import Wanted, make_batch
+from .batch import SubmittedCall, make_batch
 from .grouprunner import GroupRunner, MakeClient, make_backend_client
 from .quarantine import QuarantineKeeper
 
@@ -111,15 +111,15 @@
         self._runners[call.group] = runner
         return runner
 
-    def submit(self, wanted: list[Wanted]) -> None:
+    def submit(self, submitted: list[SubmittedCall]) -> None:
         """Submit the calls of one query; log which servers they were sent to."""
         placed = []
-        if self._is_held_back(wanted[0].call):
-            for each in wanted:
+        if self._is_held_back(submitted[0].call):
+            for each in submitted:
                 self._refuse(each, Reason.HELD_BACK)
             return
-        batch = make_batch([each.call for each in wanted])
-        for each in wanted:
+        batch = make_batch([each.call for each in submitted])
+        for each in submitted:
             if self._is_stopping:
                 self._refuse(each, Reason.STOPPING)
                 continue
@@ -128,7 +128,7 @@
                 self._refuse(each, Reason.UNKNOWN_SERVICE)
                 continue
             placed += runner.submit(each, batch)
-        self._log_plan(wanted, placed)
+        self._log_plan(submitted, placed)
 
     def _is_held_back(self, call: Call) -> bool:
         """Return whether a call's content is held back from servers.
@@ -140,25 +140,28 @@
         standing = self._quarantine.judge(call.forward, call.body)
         return standing is Standing.HELD
 
-    def _log_plan(self, wanted: list[Wanted], placed: list[StartAttempt]) -> None:
-        call = wanted[0].call
+    def _log_plan(
+        self, submitted: list[SubmittedCall], placed: list[StartAttempt]
+    ) -> None:
+        call = submitted[0].call
         log_decision(
             logger,
             "plan",
             request_id=call.request_id,
             service=call.service,
             version=call.version,
-            n_calls=len(wanted),
-            n_queued=len(wanted) - len(placed),
+            n_calls=len(submitted),
+            n_queued=len(submitted) - len(placed),
             placements=" ".join(
                 [f"{start.call.shard}={start.server}[{start.why}]" for start in placed]
             ),
         )
 
-    def _refuse(self, wanted: Wanted, reason: Reason) -> None:
-        outcome = NotRun(step=Step.ROUTE, peer=wanted.call.group, reason=reason)
-        wanted.finish(
-            FinishCall(call=wanted.call, outcome=outcome, server="", n_attempts=0), ()
+    def _refuse(self, submitted: SubmittedCall, reason: Reason) -> None:
+        outcome = NotRun(step=Step.ROUTE, peer=submitted.call.group, reason=reason)
+        submitted.finish(
+            FinishCall(call=submitted.call, outcome=outcome, server="", n_attempts=0),
+            (),
         )
 
     def cancel(self, calls: list[Call]) -> None:
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -30,7 +30,7 @@
 )
 from ..state.outcome import Answered, is_server_end
 from ..transport.channel import Channel
-from .batch import Wanted
+from .batch import SubmittedCall
 from .owner import Owner
 
 # One result is at most this large, so that frames stay well below the peer's limit.
@@ -141,7 +141,7 @@
             )
             self._collect(channel, frame_id, pending, answer)
 
-        wanted = []
+        submitted = []
         for ref in search.shards:
             call = Call(
                 call_id=self._owner.make_call_id(),
@@ -156,16 +156,16 @@
                 forward=greatest.request if greatest else None,
                 max_attempts=greatest.max_attempts if greatest else 0,
                 is_repeat=greatest.is_repeat if greatest else False,
-                wanted_by=goal,
+                goal_at=goal,
                 priority=greatest.priority if greatest else 0,
                 kind=search.service if greatest else "",
-                ends_with_server=greatest is not None,
+                no_retry_after_server_end=greatest is not None,
                 data_centres=_read_data_centres(greatest),
             )
             pending.calls[ref.shard] = call
-            wanted.append(Wanted(call=call, finish=finish))
-        if wanted:
-            self._owner.submit(wanted)
+            submitted.append(SubmittedCall(call=call, finish=finish))
+        if submitted:
+            self._owner.submit(submitted)
 
     def _collect(
         self,
@@ -230,7 +230,7 @@
             ran = RunOutcome(server=end.server, outcome=end.outcome)
             channel.send(Frame(id=frame_id, message=ran))
 
-        self._owner.submit([Wanted(call=call, finish=finish)])
+        self._owner.submit([SubmittedCall(call=call, finish=finish)])
 
     def _fetch(self, channel: Channel, frame_id: int, fetch: Fetch) -> None:
         held = self._documents.get(fetch.name)
--- a/src/lavendergap/entry/runs.py
+++ b/src/lavendergap/entry/runs.py
@@ -8,7 +8,7 @@
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Group, Service, Settings
 from ..state.ticket import Ticket
-from .batch import Wanted
+from .batch import SubmittedCall
 from .fleet import Fleet
 from .owner import Owner
 from .ticketclient import TicketClient
@@ -123,7 +123,7 @@
             ended.append(end)
             done.set()
 
-        self._owner.submit([Wanted(call=call, finish=finish)])
+        self._owner.submit([SubmittedCall(call=call, finish=finish)])
         await done.wait()
         return ended[0].outcome
 
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -9,10 +9,10 @@
 
 from .. import metrics
 from ..coordination.calls import Call, FinishCall
-from ..coordination.gate import is_slow
-from ..coordination.hedging import HEDGE_GOAL_SHARE
+from ..coordination.hedging import EARLIEST_HEDGE_SHARE
 from ..coordination.joining import SHARE_TOLERANCE, Join
 from ..coordination.pinning import Pinning
+from ..coordination.querylimiter import is_slow
 from ..coordination.records import merge_greatest
 from ..logs import log_decision
 from ..protocol.answers import Refusal, SearchResult, ShardResult
@@ -33,7 +33,7 @@
 from ..state.snapshot import Shard, Snapshot
 from ..transport.channel import Channel, Exchange, Loss
 from ..transport.dialer import Dialer
-from .batch import Wanted
+from .batch import SubmittedCall
 from .fleet import Fleet
 from .owner import Owner
 
@@ -331,7 +331,7 @@
     def _submit_locally(self, sub_query: SubQuery, shards: list[Shard]) -> None:
         query = self._query
         greatest = query.greatest
-        wanted = []
+        submitted = []
         for shard in shards:
             call = Call(
                 call_id=self._owner.make_call_id(),
@@ -346,20 +346,20 @@
                 forward=greatest.request if greatest else None,
                 max_attempts=self._count_attempts_left(shard.name) if greatest else 0,
                 is_repeat=sub_query.is_repeat,
-                wanted_by=greatest.goal if greatest else 0.0,
+                goal_at=greatest.goal if greatest else 0.0,
                 priority=greatest.priority if greatest else 0,
                 kind=query.service.name if greatest else "",
-                ends_with_server=greatest is not None,
+                no_retry_after_server_end=greatest is not None,
                 data_centres=greatest.data_centres if greatest else None,
             )
             sub_query.calls.append(call)
-            wanted.append(
-                Wanted(
+            submitted.append(
+                SubmittedCall(
                     call=call,
                     finish=lambda end, versions: self._finish(sub_query, end, versions),
                 )
             )
-        self._owner.submit(wanted)
+        self._owner.submit(submitted)
 
     def _finish(
         self, sub_query: SubQuery, end: FinishCall, versions: tuple[int, ...]
@@ -590,7 +590,7 @@
         """
         greatest = self._query.greatest
         if greatest is None or now < self._time_at_share(
-            sub_query.sent_at, HEDGE_GOAL_SHARE
+            sub_query.sent_at, EARLIEST_HEDGE_SHARE
         ):
             return 1
         return greatest.max_attempts
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -10,9 +10,9 @@
 import trio
 
 from .. import metrics
-from ..coordination.arrivals import Arrivals, compute_goal, count_parts
+from ..coordination.answerreserve import AnswerReserve
+from ..coordination.callerdelay import CallerDelays, compute_goal, count_parts
 from ..coordination.contentids import identify_content
-from ..coordination.reserve import AnswerReserve
 from ..coordination.routing import RouteIndex
 from ..logs import Category, get_logger, log_decision
 from ..protocol.answers import encode_error, name_outcome
@@ -98,7 +98,7 @@
         self.n_running = 0
         self._handlers = handlers
         self._names = names
-        self._arrivals = Arrivals()
+        self._caller_delays = CallerDelays()
         self._reserve = AnswerReserve(cores=cores)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -175,7 +175,7 @@
                 detail=f"no route begins this path in version {index.table.version}",
             )
         stated = self._read_time_left(headers)
-        arrival = self._arrivals.note(
+        delay = self._caller_delays.note(
             route.name,
             left_ms=min(stated, MAX_TIME_LEFT_MS),
             goal_ms=route.goal_ms,
@@ -183,7 +183,7 @@
             now=started,
         )
         reserve_ms = self._reserve.get_ms(n_parts=count_parts(route), now=started)
-        goal_ms = compute_goal(route, arrival, reserve_ms=reserve_ms)
+        goal_ms = compute_goal(route, delay, reserve_ms=reserve_ms)
         left = min(stated, route.timeout_ms)
         target = scope["raw_path"]
         if scope["query_string"]:
@@ -232,7 +232,7 @@
     def _record_send_time(self, result: GatewayResult) -> None:
         if isinstance(result, MergedRecords) and result.wait_ends_at is not None:
             now = trio.current_time()
-            self._reserve.note(took_ms=(now - result.wait_ends_at) * 1_000, now=now)
+            self._reserve.note(elapsed_ms=(now - result.wait_ends_at) * 1_000, now=now)
 
     async def _forward_until_disconnect(
         self, request: GatewayRequest, receive: Receive, deferred: ExitStack
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -135,7 +135,7 @@
             is_repeat=is_repeat,
             priority=priority,
             kind=kind,
-            wanted_by=0.0 if goal_ms is None else self.now + goal_ms / 1000,
+            goal_at=0.0 if goal_ms is None else self.now + goal_ms / 1000,
         )
         self.take(self.scheduler.submit(call, now=self.now))
         return call
--- a/tests/test_reserve.py
+++ b/tests/test_answerreserve.py
@@ -4,12 +4,12 @@
 goal of 120 ms.
 """
 
-from lavendergap.coordination.arrivals import Arrival, compute_goal
-from lavendergap.coordination.reserve import (
+from lavendergap.coordination.answerreserve import (
     MAX_SAMPLE_AGE_S,
     MIN_SAMPLES,
     AnswerReserve,
 )
+from lavendergap.coordination.callerdelay import CallerDelay, compute_goal
 from lavendergap.state.routes import GreatestOfAll, Route
 
 SLOW_MS = (40.0, 45.0, 50.0, 60.0)
@@ -26,7 +26,7 @@
     goal_ms=120,
     priority=1,
 )
-ARRIVAL = Arrival(spent_ms=0.0, round_trip_ms=6.0)
+CALLER_DELAY = CallerDelay(spent_ms=0.0, round_trip_ms=6.0)
 
 
 N_PARTS = 87
@@ -35,8 +35,8 @@
 
 def make_reserve(*samples_ms: float, cores: float = WEAK_CORES) -> AnswerReserve:
     reserve = AnswerReserve(cores=cores)
-    for took_ms in samples_ms:
-        reserve.note(took_ms=took_ms, now=0.0)
+    for elapsed_ms in samples_ms:
+        reserve.note(elapsed_ms=elapsed_ms, now=0.0)
     return reserve
 
 
@@ -45,9 +45,11 @@
 
     def test_a_slow_host_stops_waiting_early_enough(self):
         reserve_ms = make_reserve(*SLOW_MS).get_ms(n_parts=N_PARTS, now=0.0)
-        goal_ms = compute_goal(ROUTE, ARRIVAL, reserve_ms=reserve_ms)
+        goal_ms = compute_goal(ROUTE, CALLER_DELAY, reserve_ms=reserve_ms)
         late = [
-            ms for ms in SLOW_MS if goal_ms + ms + ARRIVAL.round_trip_ms > ROUTE.goal_ms
+            ms
+            for ms in SLOW_MS
+            if goal_ms + ms + CALLER_DELAY.round_trip_ms > ROUTE.goal_ms
         ]
         assert len(late) <= len(SLOW_MS) / 4
 
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from lavendergap.coordination.calls import Call, FinishCall, ServerReport
-from lavendergap.entry.batch import Wanted
+from lavendergap.entry.batch import SubmittedCall
 from lavendergap.entry.owner import Owner
 from lavendergap.state.outcome import Answered, NotRun, Outcome, Reason, Step, Unknown
 from lavendergap.state.settings import Address, Host, Server, Settings
@@ -283,7 +283,7 @@
 
     deadline = trio.current_time() + 2.0
     call = replace(CALL, call_id=owner.make_call_id(), deadline=deadline)
-    owner.submit([Wanted(call=call, finish=finish)])
+    owner.submit([SubmittedCall(call=call, finish=finish)])
     await is_done.wait()
     return ends[0].outcome
 
--- a/tests/test_arrivals.py
+++ b/tests/test_callerdelay.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from lavendergap.coordination.arrivals import (
+from lavendergap.coordination.callerdelay import (
     DEFAULT_ROUND_TRIP_MS,
     TIME_LEFT_PERIOD_S,
-    Arrival,
-    Arrivals,
+    CallerDelay,
+    CallerDelays,
     compute_goal,
 )
 from lavendergap.state.routes import OneOf, Route
@@ -38,15 +38,15 @@
     """A host that receives requests, each on a new connection or a kept one."""
 
     def __init__(self) -> None:
-        self.arrivals = Arrivals()
+        self.delays = CallerDelays()
         self.n_connections = 0
 
     def take(
         self, left_ms: float, *, is_new: bool = False, route="search", now: float = 0.0
-    ) -> Arrival:
+    ) -> CallerDelay:
         if is_new:
             self.n_connections += 1
-        return self.arrivals.note(
+        return self.delays.note(
             route,
             left_ms=left_ms,
             goal_ms=GOAL_MS,
@@ -124,10 +124,10 @@
 
 
 class TestGoal:
-    ARRIVAL = Arrival(spent_ms=2.0, round_trip_ms=5.0)
+    CALLER_DELAY = CallerDelay(spent_ms=2.0, round_trip_ms=5.0)
 
     def compute(self, route: Route) -> float:
-        return compute_goal(route, self.ARRIVAL, reserve_ms=RESERVE_MS)
+        return compute_goal(route, self.CALLER_DELAY, reserve_ms=RESERVE_MS)
 
     @pytest.mark.parametrize(
         ("goal_ms", "timeout_ms", "expected"),
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -140,9 +140,9 @@
             call_times.append(now)
             owner = random.choice(owners)
             for budget in owner:
-                budget.earn()
+                budget.record_call()
             for budgets in owners:
-                extra_times += [now for budget in budgets if budget.spend(now=now)]
+                extra_times += [now for budget in budgets if budget.try_spend(now=now)]
         for start in range(50):
             n_extra = sum(start <= at < start + 10 for at in extra_times)
             n_calls = sum(start <= at < start + 10 for at in call_times)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -356,7 +356,7 @@
         """Guards against an owner that keeps tokens beyond its smaller share."""
         budget = Budget(share=0.1, burst=16.0, per_second=1.0)
         budget.replace(share=0.1, burst=2.0, per_second=0.1)
-        assert [budget.spend(now=0.0) for _ in range(3)] == [True, True, False]
+        assert [budget.try_spend(now=0.0) for _ in range(3)] == [True, True, False]
 
     def test_a_part_that_grows_and_shrinks_by_turns_adds_up_to_the_largest(self):
         """Guards against new tokens each time a data centre is lost and back."""
@@ -364,7 +364,7 @@
         n_spent = 0
         for burst in (8.0, 2.0) * 20:
             budget.replace(share=0.1, burst=burst, per_second=0.0)
-            while budget.spend(now=0.0):
+            while budget.try_spend(now=0.0):
                 n_spent += 1
         assert n_spent == 8
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -8,7 +8,7 @@
 
 from lavendergap.coordination.calls import Call, FinishCall
 from lavendergap.coordination.feeds import FeedCopy
-from lavendergap.entry.batch import Wanted
+from lavendergap.entry.batch import SubmittedCall
 from lavendergap.entry.owner import Owner as CallOwner
 from lavendergap.protocol.backend import Verdict
 from lavendergap.state.feeds import FeedChange, FeedChanges, FeedEntry, FeedListing
@@ -53,7 +53,7 @@
         restart(owner, "a")
         replica = get_replica(owner)
         assert replica.ejected_until <= owner.now
-        assert (replica.blame, replica.n_ejections, replica.is_on_trial) == (
+        assert (replica.failure_score, replica.n_ejections, replica.is_half_open) == (
             0,
             0,
             False,
@@ -90,7 +90,7 @@
         assert get_replica(owner).slowness > 0.0
         restart(owner, "a")
         replica = get_replica(owner)
-        assert (replica.slowness, replica.foreign, replica.in_flight) == (0.0, 0, 0)
+        assert (replica.slowness, replica.other_calls, replica.in_flight) == (0.0, 0, 0)
 
     def test_a_late_end_does_not_count_for_the_next_process(self):
         owner = make_owner("a")
@@ -98,7 +98,7 @@
         restart(owner, "a")
         owner.end_last(lose(Reason.LOST_CONNECTION))
         replica = get_replica(owner)
-        assert (replica.blame, replica.in_flight) == (0.0, 0)
+        assert (replica.failure_score, replica.in_flight) == (0.0, 0)
 
     def test_two_restarts_between_updates_are_distinct(self):
         owner = make_owner("a")
@@ -211,7 +211,9 @@
             idempotent=True,
         )
         ended: list[FinishCall] = []
-        owner.submit([Wanted(call=call, finish=lambda end, _: ended.append(end))])
+        owner.submit(
+            [SubmittedCall(call=call, finish=lambda end, _: ended.append(end))]
+        )
         return owner, settings, clients
 
     async def test_those_to_the_previous_process_are_closed(self, owned):
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -10,7 +10,7 @@
 
 from lab.processes import find_free_ports
 from lavendergap.coordination.calls import Call, FinishCall
-from lavendergap.entry.batch import Wanted
+from lavendergap.entry.batch import SubmittedCall
 from lavendergap.entry.owner import Owner
 from lavendergap.state.outcome import Answered, Outcome
 from lavendergap.state.settings import Group, Settings, WaitForCoverage
@@ -54,7 +54,7 @@
             done.set()
 
         call = self.make_call(limit=limit)
-        self.owner.submit([Wanted(call=call, finish=finish)])
+        self.owner.submit([SubmittedCall(call=call, finish=finish)])
         await done.wait()
         return ended[0].outcome
 
@@ -172,8 +172,10 @@
             settings = replace(bench.settings, services=(empty,))
             ended: list[FinishCall] = []
             call = bench.make_call()
-            wanted = Wanted(call=call, finish=lambda end, versions: ended.append(end))
-            bench.owner.submit([wanted])
+            submitted = SubmittedCall(
+                call=call, finish=lambda end, versions: ended.append(end)
+            )
+            bench.owner.submit([submitted])
             bench.owner.replace(settings)
             while not ended:
                 await trio.sleep(0.01)
@@ -186,7 +188,9 @@
             await bench.call()
             n_before = sum(server.counts.received for server in bench.servers)
             call = bench.make_call()
-            bench.owner.submit([Wanted(call=call, finish=lambda end, versions: None)])
+            bench.owner.submit(
+                [SubmittedCall(call=call, finish=lambda end, versions: None)]
+            )
             bench.owner.cancel([call])
             await trio.sleep(0.2)
             assert sum(s.counts.received for s in bench.servers) == n_before
--- a/tests/test_gate.py
+++ b/tests/test_querylimiter.py
@@ -5,25 +5,25 @@
 import trio
 import trio.testing
 
-from lavendergap.coordination.gate import (
+from lavendergap.coordination.querylimiter import (
     MIN_LIMIT,
-    Entered,
-    Gate,
-    Waiting,
+    Admitted,
+    QueryLimiter,
+    Queued,
     is_slow,
 )
-from lavendergap.entry.admission import GateKeeper
+from lavendergap.entry.admission import QueryAdmission
 from lavendergap.state.outcome import NotRun, Reason
 
 DEADLINE_S = 0.28
 
 
-class TestGate:
+class TestQueryLimiter:
     def test_refuses_at_once_what_cannot_start_in_time(self):
         # Guards against queueing queries that could only start after most of their
         # deadline.
-        gate = Gate()
-        verdicts = [gate.enter(now=0.0, left=DEADLINE_S) for _ in range(500)]
+        limiter = QueryLimiter()
+        verdicts = [limiter.enter(now=0.0, left=DEADLINE_S) for _ in range(500)]
         refused = [v for v in verdicts if isinstance(v, NotRun)]
         assert len(refused) > 400
         assert all(v.reason is Reason.OVERLOADED for v in refused)
@@ -32,23 +32,25 @@
     def test_quiet_hour_does_not_narrow_the_gate(self):
         # Guards against estimating capacity from arrivals, which would refuse the first
         # burst after a quiet hour.
-        gate = Gate()
+        limiter = QueryLimiter()
         for turn in range(50):
-            gate.enter(now=turn * 0.02, left=DEADLINE_S)
-            gate.leave(now=turn * 0.02 + 0.015, started=turn * 0.02, is_congested=False)
-        verdicts = [gate.enter(now=3_600.0, left=DEADLINE_S) for _ in range(20)]
+            limiter.enter(now=turn * 0.02, left=DEADLINE_S)
+            limiter.leave(
+                now=turn * 0.02 + 0.015, started=turn * 0.02, is_congested=False
+            )
+        verdicts = [limiter.enter(now=3_600.0, left=DEADLINE_S) for _ in range(20)]
         assert not any(isinstance(v, NotRun) for v in verdicts)
 
     def test_one_burst_of_late_queries_shrinks_the_limit_once(self):
         # Guards against a cut for each query of one burst, which would reduce the limit
         # to its minimum.
-        gate = Gate()
-        gate.limit = 10.0
+        limiter = QueryLimiter()
+        limiter.limit = 10.0
         for _ in range(10):
-            assert gate.enter(now=0.0, left=DEADLINE_S) == Entered()
+            assert limiter.enter(now=0.0, left=DEADLINE_S) == Admitted()
         for _ in range(10):
-            gate.leave(now=0.2, started=0.0, is_congested=True)
-        assert gate.limit == 8.5
+            limiter.leave(now=0.2, started=0.0, is_congested=True)
+        assert limiter.limit == 8.5
 
     def test_settles_where_the_slots_are_busy(self):
         # Guards against a limit at its minimum or far above the 4 slots, under twice
@@ -62,13 +64,13 @@
     def test_learns_how_long_queries_take_from_congested_ones(self):
         # Guards against a mean time from uncongested queries only, with which callers
         # would be refused late.
-        gate = Gate()
-        gate.limit = 1.0
+        limiter = QueryLimiter()
+        limiter.limit = 1.0
         for turn in range(30):
-            gate.enter(now=turn * 0.2, left=DEADLINE_S)
-            gate.leave(now=(turn + 1) * 0.2, started=turn * 0.2, is_congested=True)
-        assert gate.enter(now=6.0, left=DEADLINE_S) == Entered()
-        assert isinstance(gate.enter(now=6.0, left=DEADLINE_S), NotRun)
+            limiter.enter(now=turn * 0.2, left=DEADLINE_S)
+            limiter.leave(now=(turn + 1) * 0.2, started=turn * 0.2, is_congested=True)
+        assert limiter.enter(now=6.0, left=DEADLINE_S) == Admitted()
+        assert isinstance(limiter.enter(now=6.0, left=DEADLINE_S), NotRun)
 
     def test_service_time_is_not_taken_for_a_queue(self):
         # Guards against taking calls that are slow on idle servers for queueing.
@@ -92,7 +94,7 @@
     Both services are always at their limit, and their order is random. A query is late
     if it waited too long for a place.
     """
-    gates = [Gate(weight=weight) for weight in weights]
+    limiters = [QueryLimiter(weight=weight) for weight in weights]
     random = Random(3)
     free_at = [0.0] * 8
     running: list[tuple[float, float, bool, int]] = []
@@ -104,14 +106,14 @@
 
     while now < 60.0:
         for which in random.sample(range(2), 2):
-            while gates[which].enter(now=now, left=DEADLINE_S) == Entered():
+            while limiters[which].enter(now=now, left=DEADLINE_S) == Admitted():
                 running.append((*place(free_at, now, draw()), which))
         running.sort()
         end, started, late, which = running.pop(0)
         now = end
         n_served[which] += not late
-        gates[which].leave(now=end, started=started, is_congested=late)
-        while gates[which].pop_ready() is not None:
+        limiters[which].leave(now=end, started=started, is_congested=late)
+        while limiters[which].pop_ready() is not None:
             running.append((*place(free_at, now, draw()), which))
     return n_served
 
@@ -120,7 +122,7 @@
     *, n_slots: int, service_s: float, rate: float, duration: float
 ) -> list[float]:
     """Return the limits over time for a first-come-first-served pool under overload."""
-    gate = Gate()
+    limiter = QueryLimiter()
     random = Random(7)
     free_at = [0.0] * n_slots
     ends: list[tuple[float, float, bool]] = []
@@ -129,13 +131,13 @@
     while now < duration:
         now += random.expovariate(rate)
         for end, started, late in [e for e in ends if e[0] <= now]:
-            gate.leave(now=end, started=started, is_congested=late)
+            limiter.leave(now=end, started=started, is_congested=late)
             ends.remove((end, started, late))
-            while (gate.pop_ready()) is not None:
+            while (limiter.pop_ready()) is not None:
                 ends.append(place(free_at, end, service_s))
-        if gate.enter(now=now, left=DEADLINE_S) == Entered():
+        if limiter.enter(now=now, left=DEADLINE_S) == Admitted():
             ends.append(place(free_at, now, service_s))
-        limits.append(gate.limit)
+        limits.append(limiter.limit)
     return limits
 
 
@@ -148,29 +150,29 @@
     return free_at[slot], now, free_at[slot] - now > 0.3 * DEADLINE_S
 
 
-class TestGateKeeper:
+class TestQueryAdmission:
     async def test_room_of_a_caller_that_left_goes_to_the_next(self, autojump_clock):
         # Guards against losing a place when a caller leaves just as its query is
         # admitted.
-        keeper = GateKeeper()
-        keeper.gate.limit = 1.0
-        assert await keeper.enter(deadline=trio.current_time() + 10) is None
+        admission = QueryAdmission()
+        admission.limiter.limit = 1.0
+        assert await admission.enter(deadline=trio.current_time() + 10) is None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(wait_and_leave, keeper)
+            nursery.start_soon(wait_and_leave, admission)
             await trio.testing.wait_all_tasks_blocked()
             nursery.cancel_scope.cancel()
-            keeper.leave(started=trio.current_time(), is_congested=False)
-        assert keeper.gate.n_running == 0
-        assert await keeper.enter(deadline=trio.current_time() + 10) is None
+            admission.leave(started=trio.current_time(), is_congested=False)
+        assert admission.limiter.n_running == 0
+        assert await admission.enter(deadline=trio.current_time() + 10) is None
 
     async def test_late_place_is_refused_before_the_deadline(self, autojump_clock):
         # Guards against a refusal at the deadline, too late for the caller to try
         # elsewhere.
-        keeper = GateKeeper()
-        keeper.gate.limit = 1.0
+        admission = QueryAdmission()
+        admission.limiter.limit = 1.0
         start = trio.current_time()
-        assert await keeper.enter(deadline=start + 10) is None
-        refusal = await keeper.enter(deadline=start + 1.0)
+        assert await admission.enter(deadline=start + 10) is None
+        refusal = await admission.enter(deadline=start + 1.0)
         assert isinstance(refusal, NotRun)
         assert trio.current_time() - start < 1.0
 
@@ -179,19 +181,19 @@
     ):
         # Guards against a refusal that leaves too little time for another host to
         # answer.
-        keeper = GateKeeper()
-        keeper.gate.limit = 1.0
+        admission = QueryAdmission()
+        admission.limiter.limit = 1.0
         start = trio.current_time()
-        assert await keeper.enter(deadline=start + 10) is None
-        assert isinstance(await keeper.enter(deadline=start + 1.0), NotRun)
+        assert await admission.enter(deadline=start + 10) is None
+        assert isinstance(await admission.enter(deadline=start + 1.0), NotRun)
         assert trio.current_time() - start <= 0.3
 
     def test_waiting_comes_before_refusing(self):
-        gate = Gate()
-        gate.limit = 1.0
-        assert gate.enter(now=0.0, left=DEADLINE_S) == Entered()
-        assert isinstance(gate.enter(now=0.0, left=DEADLINE_S), Waiting)
+        limiter = QueryLimiter()
+        limiter.limit = 1.0
+        assert limiter.enter(now=0.0, left=DEADLINE_S) == Admitted()
+        assert isinstance(limiter.enter(now=0.0, left=DEADLINE_S), Queued)
 
 
-async def wait_and_leave(keeper: GateKeeper) -> None:
-    await keeper.enter(deadline=trio.current_time() + 10)
+async def wait_and_leave(admission: QueryAdmission) -> None:
+    await admission.enter(deadline=trio.current_time() + 10)
