--- a/src/lavendergap/coordination/quarantine.py
+++ b/src/lavendergap/coordination/quarantine.py
@@ -44,14 +44,16 @@
     ...     name="c.1", content="c", host="a-1", servers=("i-1", "i-2"), is_trial=False)
     >>> quarantine.add(first, now=0.0)
     True
-    >>> quarantine.judge("c", now=0.0), quarantine.judge("d", now=0.0)
-    (<Standing.SUSPECT: 'suspect'>, <Standing.CLEAR: 'clear'>)
+    >>> [quarantine.get_standing(content, now=0.0) for content in ("c", "d")]
+    [<Standing.SUSPECT: 'suspect'>, <Standing.CLEAR: 'clear'>]
     >>> trial = Strike(
     ...     name="c.2", content="c", host="b-1", servers=("i-3",), is_trial=True)
     >>> quarantine.replace_stored([trial], now=1.0)
-    >>> quarantine.judge("c", now=1.0), quarantine.count_left("c", now=101.0)
-    (<Standing.HELD: 'held'>, 500.0)
-    >>> quarantine.judge("c", now=601.0)
+    >>> quarantine.get_standing("c", now=1.0)
+    <Standing.HELD: 'held'>
+    >>> quarantine.get_hold_left_s("c", now=101.0)
+    500.0
+    >>> quarantine.get_standing("c", now=601.0)
     <Standing.SUSPECT: 'suspect'>
     """
 
@@ -68,13 +70,13 @@
 
     def count_held(self, *, now: float) -> int:
         """Return the number of contents that are held."""
-        return sum(self.count_left(c, now=now) > 0.0 for c in self._by_content)
+        return sum(self.get_hold_left_s(c, now=now) > 0.0 for c in self._by_content)
 
-    def judge(self, content: str, *, now: float) -> Standing:
+    def get_standing(self, content: str, *, now: float) -> Standing:
         """Return whether a content is clear, suspect or held."""
         if content not in self._by_content:
             return Standing.CLEAR
-        if self.count_left(content, now=now) > 0.0:
+        if self.get_hold_left_s(content, now=now) > 0.0:
             return Standing.HELD
         return Standing.SUSPECT
 
@@ -82,7 +84,7 @@
         """Return whether a strike is recorded here and not known to be in the store."""
         return name in self._unstored
 
-    def count_left(self, content: str, *, now: float) -> float:
+    def get_hold_left_s(self, content: str, *, now: float) -> float:
         """Return for how many more seconds a content is held; 0 if it is not."""
         trials = [
             self._seen_at[strike.name]
--- a/src/lavendergap/entry/forwarding.py
+++ b/src/lavendergap/entry/forwarding.py
@@ -18,7 +18,7 @@
 from .batch import SubmittedCall
 from .fleet import Fleet
 from .owner import Owner
-from .quarantine import QuarantineKeeper
+from .quarantine import RequestQuarantine
 from .search import GreatestQuery, Query, SearchRun
 
 
@@ -36,7 +36,7 @@
         dialer: Dialer,
         nursery: trio.Nursery,
         random: Random,
-        quarantine: QuarantineKeeper,
+        quarantine: RequestQuarantine,
         regions: Mapping[str, str] | None = None,
     ) -> None:
         self._regions = regions or {}
@@ -52,7 +52,7 @@
 
         Work that can wait until the request is answered is put on `after`.
         """
-        standing = self._quarantine.judge(request.forward, request.body)
+        standing = self._quarantine.get_standing(request.forward, request.body)
         if standing is Standing.HELD:
             return self._quarantine.refuse(
                 request.forward, request.body, peer=request.route.name
@@ -79,12 +79,12 @@
         The caller may retry at another host within milliseconds; treated there as an
         ordinary request, it would crash the groups' other servers.
         """
-        self._quarantine.note_ends(
+        self._quarantine.record_crashes(
             request.forward, request.body, servers=tuple(servers), is_trial=is_trial
         )
 
     def _note_answer(self, request: GatewayRequest) -> None:
-        self._quarantine.note_answer(request.forward, request.body)
+        self._quarantine.record_answer(request.forward, request.body)
 
     def _list_home_data_centres(self, route: Route) -> frozenset[str] | None:
         """Return the data centres in which a route's requests may run; None for all."""
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -47,7 +47,7 @@
 from .peers import PeerService
 from .ports import PortLimits, serve_port
 from .process import BACKLOG, tune_garbage_collector
-from .quarantine import QuarantineKeeper
+from .quarantine import RequestQuarantine
 
 logger = logging.getLogger("lavendergap.entry")
 
@@ -192,11 +192,11 @@
             host=host.name,
             incarnation=self._incarnation,
         )
-        self._quarantine = QuarantineKeeper(
+        self._quarantine = RequestQuarantine(
             own_name=host.name,
             store=self._adapter,
             announce=lambda strike: feed_peers.announce_strike(strike),
-            sweeps=lambda: feed_peers.get_holder_rank() == 0,
+            is_sweeper=lambda: feed_peers.get_holder_rank() == 0,
         )
         self._owner = Owner(
             settings=self._settings,
--- a/src/lavendergap/entry/hostfeeds.py
+++ b/src/lavendergap/entry/hostfeeds.py
@@ -17,7 +17,7 @@
 )
 from .feedpeers import FeedChannels
 from .feeds import RELAXED_TIMING, FeedReader
-from .quarantine import QuarantineKeeper
+from .quarantine import RequestQuarantine
 
 
 class HostFeeds:
@@ -32,7 +32,7 @@
         *,
         adapter: Adapter,
         active_config: ActiveConfig,
-        quarantine: QuarantineKeeper,
+        quarantine: RequestQuarantine,
         channels: FeedChannels,
         has_evacuations: bool,
         random: Random,
@@ -59,7 +59,7 @@
         )
         self._strikes = make_reader(
             feed=STRIKES_FEED,
-            on_change=quarantine.use_entries,
+            on_change=quarantine.apply_entries,
             summarize=summarize_whole,
             timing=RELAXED_TIMING,
         )
--- a/src/lavendergap/entry/owner.py
+++ b/src/lavendergap/entry/owner.py
@@ -17,7 +17,7 @@
 from .alarms import TimerQueue
 from .batch import SubmittedCall, make_batch
 from .grouprunner import GroupRunner, MakeClient, make_backend_client
-from .quarantine import QuarantineKeeper
+from .quarantine import RequestQuarantine
 
 logger = logging.getLogger("lavendergap.route")
 
@@ -40,7 +40,7 @@
         attempt_prefix: str,
         make_client: MakeClient = make_backend_client,
         data_centre: str = "",
-        quarantine: QuarantineKeeper | None = None,
+        quarantine: RequestQuarantine | None = None,
         may_warm: Callable[[str], bool] = lambda group: True,
     ) -> None:
         self._settings = settings
@@ -137,7 +137,7 @@
         """
         if self._quarantine is None or call.forward is None:
             return False
-        standing = self._quarantine.judge(call.forward, call.body)
+        standing = self._quarantine.get_standing(call.forward, call.body)
         return standing is Standing.HELD
 
     def _log_plan(
--- a/src/lavendergap/entry/quarantine.py
+++ b/src/lavendergap/entry/quarantine.py
@@ -15,7 +15,7 @@
 
 logger = get_logger(Category.ROUTE)
 
-MAX_UNWRITTEN = 64
+MAX_QUEUED_WRITES = 64
 """Queued writes to the store; beyond it, strikes are not stored for other hosts.
 
 If many servers stop at once for another reason, each request that failed on them is a
@@ -32,13 +32,13 @@
 """Interval at which expired strikes are dropped."""
 
 
-class QuarantineKeeper:
+class RequestQuarantine:
     """The strikes of all hosts, and whether requests are held back by them.
 
     A strike records servers that crashed during a request. `announce` sends it to other
-    hosts; `sweeps` returns whether this host is the one that removes expired strikes
-    from the store. A request's content id is computed only while there are strikes, or
-    when a server has crashed on the request.
+    hosts; `is_sweeper` returns whether this host is the one that removes expired
+    strikes from the store. A request's content id is computed only while there are
+    strikes, or when a server has crashed on the request.
     """
 
     def __init__(
@@ -47,15 +47,15 @@
         own_name: str,
         store: StrikeStore,
         announce: Callable[[Strike], None],
-        sweeps: Callable[[], bool],
+        is_sweeper: Callable[[], bool],
     ) -> None:
         self._own_name = own_name
         self._store = store
         self._announce = announce
-        self._sweeps = sweeps
+        self._is_sweeper = is_sweeper
         self._quarantine = Quarantine()
         self._to_write, self._unwritten = trio.open_memory_channel[Strike | str](
-            MAX_UNWRITTEN
+            MAX_QUEUED_WRITES
         )
 
     async def run(self) -> None:
@@ -67,17 +67,17 @@
 
     # Decisions on requests.
 
-    def judge(self, request: ForwardedRequest, body: bytes) -> Standing:
+    def get_standing(self, request: ForwardedRequest, body: bytes) -> Standing:
         """Return whether a request is clear, suspect or held back."""
         if self._quarantine.is_empty:
             return Standing.CLEAR
         content = identify_content(request, body)
-        return self._quarantine.judge(content, now=trio.current_time())
+        return self._quarantine.get_standing(content, now=trio.current_time())
 
     def refuse(self, request: ForwardedRequest, body: bytes, *, peer: str) -> NotRun:
         """Return the refusal of a request held back, with the time until it may run."""
         content = identify_content(request, body)
-        left = self._quarantine.count_left(content, now=trio.current_time())
+        left = self._quarantine.get_hold_left_s(content, now=trio.current_time())
         return NotRun(
             step=Step.ADMIT,
             peer=peer,
@@ -87,13 +87,13 @@
 
     # Results of requests.
 
-    def note_answer(self, request: ForwardedRequest, body: bytes) -> None:
+    def record_answer(self, request: ForwardedRequest, body: bytes) -> None:
         """Record that a server answered a request, and clear its strikes."""
         if self._quarantine.is_empty:
             return
         content = identify_content(request, body)
         now = trio.current_time()
-        if self._quarantine.judge(content, now=now) is Standing.CLEAR:
+        if self._quarantine.get_standing(content, now=now) is Standing.CLEAR:
             return
         stored = self._quarantine.clear(content, now=now)
         log_decision(
@@ -107,7 +107,7 @@
         for name in stored:
             self._enqueue(name)
 
-    def note_ends(
+    def record_crashes(
         self,
         request: ForwardedRequest,
         body: bytes,
@@ -118,7 +118,7 @@
         """Record that `servers` crashed on a request and that none answered it."""
         content = identify_content(request, body)
         now = trio.current_time()
-        if self._quarantine.judge(content, now=now) is Standing.HELD:
+        if self._quarantine.get_standing(content, now=now) is Standing.HELD:
             return
         strike = Strike(
             name=f"{content}.{identify_attempt(request)}",
@@ -137,7 +137,7 @@
             servers=strike.servers,
             is_trial=is_trial,
             is_taken=is_new,
-            standing=self._quarantine.judge(content, now=now).value,
+            standing=self._quarantine.get_standing(content, now=now).value,
         )
         self._update_gauge()
         if is_new:
@@ -157,13 +157,13 @@
             content=strike.content,
             seen_by=strike.host,
             is_trial=strike.is_trial,
-            standing=self._quarantine.judge(strike.content, now=now).value,
+            standing=self._quarantine.get_standing(strike.content, now=now).value,
         )
         self._update_gauge()
 
     # The store.
 
-    def use_entries(self, entries: Mapping[str, bytes], revision: int) -> None:
+    def apply_entries(self, entries: Mapping[str, bytes], revision: int) -> None:
         """Apply the strikes in the store."""
         strikes = []
         for name, body in entries.items():
@@ -219,7 +219,7 @@
                 continue
             old = self._quarantine.expire(now=trio.current_time())
             self._update_gauge()
-            if self._sweeps():
+            if self._is_sweeper():
                 for name in old:
                     self._enqueue(name)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -11,7 +11,7 @@
 
 from lavendergap.coordination.calls import Call, ServerReport
 from lavendergap.entry.forwarding import Forwarder
-from lavendergap.entry.quarantine import QuarantineKeeper
+from lavendergap.entry.quarantine import RequestQuarantine
 from lavendergap.protocol.backend import Verdict
 from lavendergap.protocol.forwarding import MergedRecords
 from lavendergap.state.forwarding import ForwardedRequest
@@ -97,11 +97,11 @@
         self.nursery = nursery
         self.strikes = StoredStrikes()
         self.announced: list[Strike] = []
-        self.quarantine = QuarantineKeeper(
+        self.quarantine = RequestQuarantine(
             own_name="host-0",
             store=self.strikes,
             announce=self.announced.append,
-            sweeps=lambda: True,
+            is_sweeper=lambda: True,
         )
         self.groups = [group.name for group in self.cluster.service.groups]
         for node in self.cluster.nodes:
@@ -405,7 +405,9 @@
         result = await forwarding.ask_all(attempt=b"r2")
         assert isinstance(result, MergedRecords)
         assert result.coverage.missing == ()
-        assert forwarding.quarantine.judge(_make_request(), b"") is Standing.CLEAR
+        assert (
+            forwarding.quarantine.get_standing(_make_request(), b"") is Standing.CLEAR
+        )
 
     async def test_a_harmless_suspect_is_tried_and_cleared(
         self, forwarding, autojump_clock
@@ -417,7 +419,9 @@
         }
         forwarding.crashing.update(server.name for server in servers)
         assert isinstance(await forwarding.ask_all(), Unknown)
-        assert forwarding.quarantine.judge(_make_request(), b"") is Standing.SUSPECT
+        assert (
+            forwarding.quarantine.get_standing(_make_request(), b"") is Standing.SUSPECT
+        )
         forwarding.crashing.clear()
         forwarding.calls.clear()
         await trio.sleep(1.0)
@@ -427,7 +431,9 @@
         assert result.coverage.missing == ()
         assert trio.current_time() - asked_at < GOAL_MS / 1_000
         assert len(forwarding.calls) == N_GROUPS
-        assert forwarding.quarantine.judge(_make_request(), b"") is Standing.CLEAR
+        assert (
+            forwarding.quarantine.get_standing(_make_request(), b"") is Standing.CLEAR
+        )
 
     async def test_a_popular_search_is_not_held_back_when_all_servers_crash(
         self, forwarding, autojump_clock
@@ -452,7 +458,7 @@
         shed = NotRun(step=Step.RECEIVE, peer="x", reason=Reason.SHED)
         for server in forwarding.cluster.service.groups[0].servers:
             forwarding.faults[server.name] = (0.001, shed)
-        forwarding.quarantine.note_ends(
+        forwarding.quarantine.record_crashes(
             _make_request(), b"", servers=("x",), is_trial=False
         )
         result = await forwarding.ask_all()
@@ -467,7 +473,9 @@
         # The first shard's group is unknown. A suspect search must not wait for its
         # answer until the deadline.
         alone = Forwarding(nursery, n_hosts=1)
-        alone.quarantine.note_ends(_make_request(), b"", servers=("x",), is_trial=False)
+        alone.quarantine.record_crashes(
+            _make_request(), b"", servers=("x",), is_trial=False
+        )
         target = GreatestOfAll(
             groups=("none", *alone.groups), n_records=4, min_share=0.8
         )
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,7 +12,7 @@
     STRIKE_LIFETIME_S,
     Quarantine,
 )
-from lavendergap.entry.quarantine import MAX_UNWRITTEN, QuarantineKeeper
+from lavendergap.entry.quarantine import MAX_QUEUED_WRITES, RequestQuarantine
 from lavendergap.state.forwarding import ForwardedRequest
 from lavendergap.state.quarantine import Standing, Strike
 from tests.strikes import StoredStrikes
@@ -61,21 +61,23 @@
         quarantine = Quarantine()
         for n in range(20):
             quarantine.add(make_strike(f"c.{n}"), now=0.0)
-        assert quarantine.judge("c", now=0.0) is Standing.SUSPECT
+        assert quarantine.get_standing("c", now=0.0) is Standing.SUSPECT
 
     def test_a_trial_that_crashed_a_server_holds_the_content_for_a_time(self):
         quarantine = Quarantine()
         quarantine.add(make_strike("c.1"), now=0.0)
         quarantine.add(make_strike("c.2", is_trial=True), now=5.0)
-        assert quarantine.judge("c", now=HOLD_S) is Standing.HELD
-        assert quarantine.judge("c", now=5.0 + HOLD_S) is Standing.SUSPECT
+        assert quarantine.get_standing("c", now=HOLD_S) is Standing.HELD
+        assert quarantine.get_standing("c", now=5.0 + HOLD_S) is Standing.SUSPECT
         quarantine.expire(now=5.0 + STRIKE_LIFETIME_S)
-        assert quarantine.judge("c", now=5.0 + STRIKE_LIFETIME_S) is Standing.CLEAR
+        assert (
+            quarantine.get_standing("c", now=5.0 + STRIKE_LIFETIME_S) is Standing.CLEAR
+        )
 
     def test_other_contents_stay_clear(self):
         quarantine = Quarantine()
         quarantine.add(make_strike("c.1", is_trial=True), now=0.0)
-        assert quarantine.judge("d", now=0.0) is Standing.CLEAR
+        assert quarantine.get_standing("d", now=0.0) is Standing.CLEAR
 
     def test_the_number_of_strikes_is_bounded(self):
         quarantine = Quarantine()
@@ -92,7 +94,7 @@
             Random(seed).shuffle(strikes)
             quarantine.add(strikes[0], now=0.0)
             quarantine.replace_stored(strikes, now=1.0)
-            assert quarantine.judge("c", now=1.0) is Standing.HELD
+            assert quarantine.get_standing("c", now=1.0) is Standing.HELD
 
     def test_a_content_removed_from_the_store_is_clear(self):
         quarantine = Quarantine()
@@ -100,108 +102,119 @@
         quarantine.add(own, now=0.0)
         quarantine.replace_stored([own], now=1.0)
         quarantine.replace_stored([], now=2.0)
-        assert quarantine.judge("c", now=2.0) is Standing.CLEAR
+        assert quarantine.get_standing("c", now=2.0) is Standing.CLEAR
 
 
 @pytest.fixture
-async def keeper(autojump_clock, nursery):
-    """A keeper that runs, with its store."""
-    keeper = make_keeper(StoredStrikes())
-    nursery.start_soon(keeper.run)
-    return keeper
+async def request_quarantine(autojump_clock, nursery):
+    """A running `RequestQuarantine`, with its store."""
+    request_quarantine = make_request_quarantine(StoredStrikes())
+    nursery.start_soon(request_quarantine.run)
+    return request_quarantine
 
 
-def make_keeper(store: StoredStrikes) -> QuarantineKeeper:
-    return QuarantineKeeper(
+def make_request_quarantine(store: StoredStrikes) -> RequestQuarantine:
+    return RequestQuarantine(
         own_name="a-1",
         store=store,
         announce=store.announced.append,
-        sweeps=lambda: True,
+        is_sweeper=lambda: True,
     )
 
 
 def strike(
-    keeper: QuarantineKeeper, *, attempt: bytes = b"r1", is_trial: bool = False
+    request_quarantine: RequestQuarantine,
+    *,
+    attempt: bytes = b"r1",
+    is_trial: bool = False,
 ) -> None:
     request = make_request(attempt=attempt)
-    keeper.note_ends(request, b"", servers=("i-1",), is_trial=is_trial)
+    request_quarantine.record_crashes(request, b"", servers=("i-1",), is_trial=is_trial)
 
 
 class TestKeeper:
-    async def test_strikes_are_written_to_the_store(self, keeper, autojump_clock):
-        strike(keeper)
-        strike(keeper, attempt=b"r2", is_trial=True)
+    async def test_strikes_are_written_to_the_store(
+        self, request_quarantine, autojump_clock
+    ):
+        strike(request_quarantine)
+        strike(request_quarantine, attempt=b"r2", is_trial=True)
         await trio.sleep(0.1)
-        strikes = keeper._store.stored.values()
+        strikes = request_quarantine._store.stored.values()
         assert [each.is_trial for each in strikes] == [False, True]
         assert len({each.content for each in strikes}) == 1
 
     async def test_strikes_are_written_after_an_outage_of_the_store(
-        self, keeper, autojump_clock
+        self, request_quarantine, autojump_clock
     ):
         # Until then the strikes count at this host.
-        keeper._store.is_up = False
-        strike(keeper, is_trial=True)
+        request_quarantine._store.is_up = False
+        strike(request_quarantine, is_trial=True)
         await trio.sleep(10.0)
-        assert keeper.judge(make_request(), b"") is Standing.HELD
-        keeper._store.is_up = True
+        assert request_quarantine.get_standing(make_request(), b"") is Standing.HELD
+        request_quarantine._store.is_up = True
         await trio.sleep(2.0)
-        assert len(keeper._store.stored) == 1
+        assert len(request_quarantine._store.stored) == 1
 
     async def test_strikes_cleared_during_an_outage_are_not_written(
-        self, keeper, autojump_clock
+        self, request_quarantine, autojump_clock
     ):
-        keeper._store.is_up = False
-        strike(keeper)
+        request_quarantine._store.is_up = False
+        strike(request_quarantine)
         await trio.sleep(3.0)
-        keeper.note_answer(make_request(), b"")
-        keeper._store.is_up = True
+        request_quarantine.record_answer(make_request(), b"")
+        request_quarantine._store.is_up = True
         await trio.sleep(3.0)
-        assert keeper._store.stored == {}
+        assert request_quarantine._store.stored == {}
 
-    async def test_an_answer_removes_the_stored_strikes(self, keeper, autojump_clock):
-        strike(keeper)
+    async def test_an_answer_removes_the_stored_strikes(
+        self, request_quarantine, autojump_clock
+    ):
+        strike(request_quarantine)
         await trio.sleep(0.1)
-        [name] = keeper._store.stored
+        [name] = request_quarantine._store.stored
         content = identify_content(make_request(), b"")
-        keeper.use_entries({name: content.encode()}, 7)
-        keeper.note_answer(make_request(attempt=b"r9"), b"")
+        request_quarantine.apply_entries({name: content.encode()}, 7)
+        request_quarantine.record_answer(make_request(attempt=b"r9"), b"")
         await trio.sleep(0.1)
-        assert keeper._store.stored == {}
-        assert keeper.judge(make_request(), b"") is Standing.CLEAR
+        assert request_quarantine._store.stored == {}
+        assert request_quarantine.get_standing(make_request(), b"") is Standing.CLEAR
 
     async def test_a_host_that_starts_reads_stored_strikes(self, autojump_clock):
-        keeper = make_keeper(StoredStrikes())
+        request_quarantine = make_request_quarantine(StoredStrikes())
         content = identify_content(make_request(), b"")
-        keeper.use_entries({f"{content}.trial": content.encode()}, 7)
-        assert keeper.judge(make_request(), b"") is Standing.HELD
-        refusal = keeper.refuse(make_request(), b"", peer="r")
+        request_quarantine.apply_entries({f"{content}.trial": content.encode()}, 7)
+        assert request_quarantine.get_standing(make_request(), b"") is Standing.HELD
+        refusal = request_quarantine.refuse(make_request(), b"", peer="r")
         assert refusal.retry_after_ms == HOLD_S * 1_000
 
     async def test_an_invalid_stored_entry_is_ignored(self, autojump_clock):
-        keeper = make_keeper(StoredStrikes())
+        request_quarantine = make_request_quarantine(StoredStrikes())
         content = identify_content(make_request(), b"")
-        keeper.use_entries({"x": b"", f"{content}.trial": content.encode()}, 7)
-        assert keeper.judge(make_request(), b"") is Standing.HELD
+        request_quarantine.apply_entries(
+            {"x": b"", f"{content}.trial": content.encode()}, 7
+        )
+        assert request_quarantine.get_standing(make_request(), b"") is Standing.HELD
 
     async def test_expired_strikes_are_removed_from_the_store(
-        self, keeper, autojump_clock
+        self, request_quarantine, autojump_clock
     ):
-        strike(keeper)
+        strike(request_quarantine)
         await trio.sleep(0.1)
-        [name] = keeper._store.stored
+        [name] = request_quarantine._store.stored
         content = identify_content(make_request(), b"")
-        keeper.use_entries({name: content.encode()}, 7)
+        request_quarantine.apply_entries({name: content.encode()}, 7)
         await trio.sleep(STRIKE_LIFETIME_S + 10.0)
-        assert keeper._store.stored == {}
+        assert request_quarantine._store.stored == {}
 
-    async def test_pending_writes_are_bounded(self, keeper, autojump_clock):
+    async def test_pending_writes_are_bounded(self, request_quarantine, autojump_clock):
         # Guards against unbounded memory when many servers crash while the store is
         # down.
-        keeper._store.is_up = False
-        for n in range(10 * MAX_UNWRITTEN):
+        request_quarantine._store.is_up = False
+        for n in range(10 * MAX_QUEUED_WRITES):
             request = make_request(b"/%d" % n)
-            keeper.note_ends(request, b"", servers=("i-1",), is_trial=False)
-        keeper._store.is_up = True
+            request_quarantine.record_crashes(
+                request, b"", servers=("i-1",), is_trial=False
+            )
+        request_quarantine._store.is_up = True
         await trio.sleep(5.0)
-        assert len(keeper._store.stored) <= MAX_UNWRITTEN + 1
+        assert len(request_quarantine._store.stored) <= MAX_QUEUED_WRITES + 1
