--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -32,7 +32,6 @@
 from ..transport.dialer import Dialer
 from ..transport.gossip import GossipMetrics, open_gossip, run_gossip
 from ..transport.platform import PlatformClient
-from .bookings import Bookings
 from .coordinator import Coordinator
 from .documents import DocumentKeeper, check_document
 from .fleet import Fleet
@@ -42,6 +41,7 @@
 from .process import BACKLOG, tune_garbage_collector
 from .search import Query
 from .status import HostStatus, MemberStatus, ServiceStatus, SettingsStatus
+from .ticketservice import TicketService
 
 logger = logging.getLogger("lavendergap.entry")
 
@@ -130,7 +130,7 @@
         nursery.start_soon(self._gossip)
         nursery.start_soon(self._keeper.run)
         nursery.start_soon(self._sweep)
-        nursery.start_soon(self._bookings.keep_confirming)
+        nursery.start_soon(self._tickets.resend_unconfirmed)
         await self._open_ports(nursery)
         log_decision(
             logger,
@@ -202,7 +202,7 @@
             use_settings=self._use_settings,
             use_index=self._use_index,
         )
-        self._bookings = Bookings(
+        self._tickets = TicketService(
             peer=peer,
             issuer=Issuer(
                 peer=peer,
@@ -225,7 +225,7 @@
             owner=self._owner,
             documents=self._documents,
             nursery=nursery,
-            answer_ticket=self._bookings.answer,
+            answer_ticket=self._tickets.answer,
         )
         self._acceptor = Acceptor(
             own=hello, handle=self._handle_peer, lose=self._peers.drop
@@ -259,9 +259,9 @@
         handlers = Handlers(
             get_settings=lambda: self._settings,
             search=self._search,
-            issue=self._bookings.issue,
-            run=self._bookings.run,
-            look_up=self._bookings.look_up,
+            issue=self._tickets.issue,
+            run=self._tickets.run,
+            look_up=self._tickets.look_up,
             is_leaving=lambda: self._is_leaving,
             get_unsettled=self._get_unsettled,
         )
@@ -292,7 +292,7 @@
         self._settings = settings
         self._fleet.replace_settings(settings)
         self._owner.replace(settings)
-        self._bookings.replace(settings)
+        self._tickets.replace(settings)
         self._membership.replace_control(settings.control)
         metrics.settings_version.set(settings.version)
         for published in self._keeper.get_published(settings):
@@ -405,12 +405,12 @@
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
         await trio.sleep(min(LEAVE_NOTICE_S, drain / 2))
         with trio.move_on_after(drain):
-            while self._callers.n_running or self._bookings.is_busy:
+            while self._callers.n_running or self._tickets.is_busy:
                 await trio.sleep(DRAIN_CHECK_INTERVAL_S)
             self._owner.stop()
             while self._owner.is_busy:
                 await trio.sleep(DRAIN_CHECK_INTERVAL_S)
-            await self._bookings.hand_over()
+            await self._tickets.drain()
             self._stop.set()
             await self._finish_callers()
         self._stop.set()
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -28,8 +28,8 @@
 from ..state.settings import Group, Server, Service, Settings
 from ..transport.backend import BackendClient
 from ..transport.forward import ForwardClient
-from .alarms import Timer, TimerQueue
 from .batch import Batch, FinishCallback, SubmittedCall
+from .timerqueue import Timer, TimerQueue
 
 logger = logging.getLogger("lavendergap.route")
 
--- a/src/lavendergap/entry/owner.py
+++ b/src/lavendergap/entry/owner.py
@@ -14,10 +14,10 @@
 from ..state.outcome import NotRun, Reason, Step
 from ..state.quarantine import Standing
 from ..state.settings import Group, Service, Settings
-from .alarms import TimerQueue
 from .batch import SubmittedCall, make_batch
 from .grouprunner import GroupRunner, MakeClient, make_backend_client
 from .quarantine import RequestQuarantine
+from .timerqueue import TimerQueue
 
 logger = logging.getLogger("lavendergap.route")
 
--- a/src/lavendergap/entry/bookings.py
+++ b/src/lavendergap/entry/ticketservice.py
@@ -70,7 +70,7 @@
 from ..transport.web import BadRequestError
 from .fleet import Fleet
 from .owner import Owner
-from .runs import REPLY_GRACE_S, RunSender
+from .runsender import REPLY_GRACE_S, RunSender
 from .ticketclient import NoReply, TicketClient
 
 logger = logging.getLogger("lavendergap.once")
@@ -96,7 +96,7 @@
     done: trio.Event = field(default_factory=trio.Event)
 
 
-class Bookings:
+class TicketService:
     """This host's tickets: as issuer, as witness, and for callers and peers."""
 
     def __init__(
@@ -133,9 +133,9 @@
         """Apply new settings."""
         self._settings = settings
         self._sender.replace(settings)
-        for keeper in (self._issuer, self._witness):
-            keeper.max_tickets = settings.control.max_tickets
-            keeper.ticket_lifetime_ms = settings.control.ticket_lifetime_ms
+        for each in (self._issuer, self._witness):
+            each.max_tickets = settings.control.max_tickets
+            each.ticket_lifetime_ms = settings.control.ticket_lifetime_ms
 
     @property
     def is_busy(self) -> bool:
@@ -299,7 +299,7 @@
                 self._issuer.confirm(ended.ticket)
         return reply is not NoReply.LOST
 
-    async def keep_confirming(self) -> None:
+    async def resend_unconfirmed(self) -> None:
         """Resend outcomes periodically until their witness confirms them."""
         while True:
             await trio.sleep(CONFIRM_INTERVAL_S)
@@ -307,7 +307,7 @@
                 self._issuer.get_unconfirmed(limit=MAX_CONFIRM_BATCH)
             )
 
-    async def hand_over(self) -> None:
+    async def drain(self) -> None:
         """Start no more requests, and send all outcomes to the witnesses.
 
         Waits for running requests: their outcomes would be lost with this process,
--- a/tests/test_bookings.py
+++ b/tests/test_ticketservice.py
@@ -12,10 +12,10 @@
 from lavendergap.coordination.documents import Documents
 from lavendergap.coordination.issuer import Issuer
 from lavendergap.coordination.witness import Witness
-from lavendergap.entry.bookings import Bookings
 from lavendergap.entry.fleet import Fleet
 from lavendergap.entry.owner import Owner
 from lavendergap.entry.peers import PeerService
+from lavendergap.entry.ticketservice import TicketService
 from lavendergap.protocol.answers import Refusal
 from lavendergap.protocol.messages import Frame, Hello
 from lavendergap.state.outcome import Answered, NotRun, Reason, Step, Unknown
@@ -178,7 +178,7 @@
         issuer = Issuer(
             peer=peer, secret=b"k" * 32, max_tickets=99, ticket_lifetime_ms=60_000
         )
-        bookings = Bookings(
+        tickets = TicketService(
             peer=peer,
             issuer=issuer,
             witness=Witness(peer=peer, max_tickets=99, ticket_lifetime_ms=60_000),
@@ -198,12 +198,12 @@
             owner=owner,
             documents=Documents(check=lambda name, body: None),
             nursery=self.nursery,
-            answer_ticket=bookings.answer,
+            answer_ticket=tickets.answer,
         )
         return SimpleNamespace(
             hello=hello,
             peers=peers,
-            bookings=bookings,
+            tickets=tickets,
             issuer=issuer,
             owner=owner,
             fleet=fleet,
@@ -233,15 +233,15 @@
         )
 
     async def issue(self, name="a-1"):
-        issued = await self.nodes[name].bookings.issue(self.request(1.0))
+        issued = await self.nodes[name].tickets.issue(self.request(1.0))
         assert isinstance(issued, TicketText)
         return issued.text
 
     async def run(self, ticket, name="a-1", seconds=2.0):
-        return await self.nodes[name].bookings.run(self.request(seconds), ticket)
+        return await self.nodes[name].tickets.run(self.request(seconds), ticket)
 
     async def look_up(self, ticket, name):
-        return await self.nodes[name].bookings.look_up("r", ticket)
+        return await self.nodes[name].tickets.look_up("r", ticket)
 
     @property
     def n_runs(self):
@@ -458,7 +458,7 @@
         self, hosts, autojump_clock
     ):
         """Outcomes for a witness that lost its records are not sent again forever."""
-        hosts.nursery.start_soon(hosts.nodes["a-1"].bookings.keep_confirming)
+        hosts.nursery.start_soon(hosts.nodes["a-1"].tickets.resend_unconfirmed)
         ticket = await hosts.issue()
         host = get_witness(ticket).host
         hosts.nodes["b-1"].owner.seconds = 1.0
@@ -551,7 +551,7 @@
 class TestStop:
     async def test_unstarted_tickets_are_void_at_once(self, hosts, autojump_clock):
         ticket = await hosts.issue()
-        await hosts.nodes["a-1"].bookings.hand_over()
+        await hosts.nodes["a-1"].tickets.drain()
         assert is_not_run(await hosts.run(ticket, "b-1"), Reason.STOPPING)
         hosts.kill("a-1")
         assert is_not_run(await hosts.run(ticket, "b-1"), Reason.ISSUER_LOST)
@@ -566,7 +566,7 @@
         ticket = await hosts.issue()
         hosts.nursery.start_soon(hosts.run, ticket, "b-1")
         await trio.sleep(0.5)
-        await hosts.nodes["a-1"].bookings.hand_over()
+        await hosts.nodes["a-1"].tickets.drain()
         hosts.kill("a-1")
         assert isinstance(await hosts.look_up(ticket, "b-1"), RunResult)
 
@@ -581,7 +581,7 @@
             for ticket in tickets:
                 nursery.start_soon(hosts.run, ticket)
         with trio.fail_after(4.0):
-            await hosts.nodes["a-1"].bookings.hand_over()
+            await hosts.nodes["a-1"].tickets.drain()
 
 
 class TestSettings:
@@ -589,7 +589,7 @@
         self, hosts, autojump_clock
     ):
         ticket = await hosts.issue()
-        hosts.nodes["a-1"].bookings.replace(make_settings())
+        hosts.nodes["a-1"].tickets.replace(make_settings())
         answer = await hosts.run(ticket, "b-1")
         assert is_not_run(answer, Reason.UNKNOWN_SERVICE)
         assert hosts.n_runs == 0
@@ -603,10 +603,10 @@
         """
         await hosts.issue()
         control = Control(max_tickets=1, ticket_lifetime_ms=60_000)
-        bookings = hosts.nodes["a-1"].bookings
+        tickets = hosts.nodes["a-1"].tickets
         settings = replace(make_settings(LEDGER), control=control)
-        bookings.replace(settings)
-        refused = await bookings.issue(hosts.request(1.0))
+        tickets.replace(settings)
+        refused = await tickets.issue(hosts.request(1.0))
         assert is_not_run(refused, Reason.OVERLOADED)
-        bookings.replace(replace(settings, control=Control(max_tickets=2)))
-        assert isinstance(await bookings.issue(hosts.request(1.0)), TicketText)
+        tickets.replace(replace(settings, control=Control(max_tickets=2)))
+        assert isinstance(await tickets.issue(hosts.request(1.0)), TicketText)
--- a/tests/test_alarms.py
+++ b/tests/test_timerqueue.py
@@ -6,10 +6,10 @@
 import trio
 import trio.testing
 
-from lavendergap.entry.alarms import Timer, TimerQueue
+from lavendergap.entry.timerqueue import Timer, TimerQueue
 
 
-class TestAlarmClock:
+class TestTimerQueue:
     async def test_a_timer_wakes_at_the_earliest_time_set(self, autojump_clock):
         timers = TimerQueue()
         woken: list[float] = []
