--- a/lab/callcost.py
+++ b/lab/callcost.py
@@ -141,9 +141,12 @@
     trio.lowlevel.add_instrument(counter)
     async with trio.open_nursery() as nursery:
 
-        def make_client(server: Server, idle_limit: float) -> ForwardClient:
+        def make_client(server: Server, idle_timeout_s: float) -> ForwardClient:
             return ForwardClient(
-                server=server, idle_limit=idle_limit, names=NAMES, nursery=nursery
+                server=server,
+                idle_timeout_s=idle_timeout_s,
+                names=NAMES,
+                nursery=nursery,
             )
 
         owner = Owner(
--- a/lab/callersport.py
+++ b/lab/callersport.py
@@ -67,7 +67,7 @@
             run=self.reject_booking,
             look_up=self.reject_booking,
             is_leaving=lambda: False,
-            get_unsettled=str,
+            get_startup_problem=str,
         )
         return CallersApp(handlers=handlers)
 
--- a/lab/parts.py
+++ b/lab/parts.py
@@ -49,7 +49,7 @@
 from lavendergap.state.ticket import Ack, Peer, Ticket, parse_ticket
 from lavendergap.state.tree import parse_settings
 from lavendergap.transport.acceptor import Acceptor
-from lavendergap.transport.channel import Channel, Exchange
+from lavendergap.transport.channel import Channel, ReplyHandlers
 from lavendergap.transport.dialer import Dialer
 
 from .callersport import measure_caller
@@ -178,7 +178,7 @@
     by_shards: Points = {}
     together: Points = {}
     async with trio.open_nursery() as nursery:
-        acceptor = Acceptor(own=hello, handle=answer, lose=lambda channel: None)
+        acceptor = Acceptor(own=hello, on_frame=answer, on_loss=lambda channel: None)
         listeners = await nursery.start(
             partial(trio.serve_tcp, acceptor.serve_stream, 0, host="127.0.0.1")
         )
@@ -207,8 +207,8 @@
     async with trio.open_nursery() as nursery:
         acceptor = Acceptor(
             own=hello,
-            handle=lambda channel, frame: None,
-            lose=lambda channel: None,
+            on_frame=lambda channel, frame: None,
+            on_loss=lambda channel: None,
         )
         listeners = await nursery.start(
             partial(trio.serve_tcp, acceptor.serve_stream, 0, host="127.0.0.1")
@@ -247,8 +247,8 @@
         if n_open == 0:
             is_answered.set()
 
-    exchange = Exchange(reply=count_reply, lose=lambda loss: None)
-    request_ids = [channel.request(search, exchange) for _ in range(n_questions)]
+    handlers = ReplyHandlers(on_reply=count_reply, on_loss=lambda loss: None)
+    request_ids = [channel.request(search, handlers) for _ in range(n_questions)]
     await is_answered.wait()
     for request_id in request_ids:
         channel.forget(request_id)
--- a/src/lavendergap/commands/hosts.py
+++ b/src/lavendergap/commands/hosts.py
@@ -8,7 +8,7 @@
 
 from ..entry.status import HostStatus
 from ..state.settings import Host
-from ..transport.exchange import Exchange, Lost
+from ..transport.httpclient import FailedCall, HttpClient
 
 STATUS_TIMEOUT_S = 1.0
 
@@ -26,12 +26,12 @@
 
 async def fetch_status(host: Host) -> HostAnswer:
     """Return the status of `host`, within `STATUS_TIMEOUT_S`."""
-    exchange = Exchange(address=host.admin)
+    client = HttpClient(address=host.admin)
     try:
-        reply = await exchange.call("GET", "/status", limit_s=STATUS_TIMEOUT_S)
+        reply = await client.call("GET", "/status", limit_s=STATUS_TIMEOUT_S)
     finally:
-        await exchange.aclose()
-    if isinstance(reply, Lost):
+        await client.aclose()
+    if isinstance(reply, FailedCall):
         return Unreachable(reason=f"{reply.step}: {reply.reason}")
     try:
         status = msgspec.json.decode(reply.body, type=HostStatus)
--- a/src/lavendergap/commands/query.py
+++ b/src/lavendergap/commands/query.py
@@ -13,7 +13,7 @@
 from ..protocol.answers import RefusalBody, SearchBody
 from ..state.settings import Host, Service, Settings
 from ..state.tree import load_settings
-from ..transport.exchange import Exchange, Lost, Reply
+from ..transport.httpclient import FailedCall, HttpClient, HttpReply
 from .console import print_note, print_table
 from .options import json_option, settings_option
 
@@ -101,11 +101,11 @@
         self.body = body
         self.deadline_ms = deadline_ms
 
-    async def search(self) -> Reply:
+    async def search(self) -> HttpReply:
         """Query an idempotent service."""
         return await self._call("query")
 
-    async def run(self, ticket: str | None) -> Reply:
+    async def run(self, ticket: str | None) -> HttpReply:
         """Run a request that is not idempotent, at most once."""
         if ticket is None:
             issued = await self._call("tickets")
@@ -120,7 +120,7 @@
                 f"{error}; the request may have run: ask again with --ticket {ticket}"
             ) from None
 
-    async def _call(self, what: str, *, ticket: str | None = None) -> Reply:
+    async def _call(self, what: str, *, ticket: str | None = None) -> HttpReply:
         headers = {
             "Content-Type": "application/json",
             "Deadline-Ms": str(self.deadline_ms),
@@ -131,7 +131,7 @@
         failures = []
         for host in self.hosts:
             reply = await self._post(host, path, headers)
-            if isinstance(reply, Reply):
+            if isinstance(reply, HttpReply):
                 return reply
             failures.append(f"{host.name} (step {reply.step}: {reply.reason})")
         raise UnreachableError(
@@ -140,10 +140,10 @@
 
     async def _post(
         self, host: Host, path: str, headers: dict[str, str]
-    ) -> Reply | Lost:
-        exchange = Exchange(address=host.callers)
+    ) -> HttpReply | FailedCall:
+        client = HttpClient(address=host.callers)
         try:
-            return await exchange.call(
+            return await client.call(
                 "POST",
                 path,
                 limit_s=self.deadline_ms / 1_000 + ANSWER_MARGIN_S,
@@ -151,10 +151,10 @@
                 body=self.body,
             )
         finally:
-            await exchange.aclose()
+            await client.aclose()
 
 
-def _show(reply: Reply, *, as_json: bool) -> None:
+def _show(reply: HttpReply, *, as_json: bool) -> None:
     if as_json:
         click.echo(reply.body.decode("utf-8", "replace"))
     if reply.status != HTTPStatus.OK:
@@ -200,7 +200,7 @@
     return f"{text[:_MAX_RESULT_CHARACTERS]}..."
 
 
-def _format_refusal(reply: Reply) -> str:
+def _format_refusal(reply: HttpReply) -> str:
     try:
         body = msgspec.json.decode(reply.body, type=RefusalBody)
     except msgspec.MsgspecError:
--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -142,7 +142,7 @@
 
     async def _announce_ready(self) -> None:
         """Print `ready` once, for the script that started this process and waits."""
-        while self._get_unready():
+        while self._get_not_ready_reason():
             await trio.sleep(DRAIN_CHECK_INTERVAL_S)
         print("ready", flush=True)
 
@@ -228,7 +228,7 @@
             answer_ticket=self._tickets.answer,
         )
         self._acceptor = Acceptor(
-            own=hello, handle=self._handle_peer, lose=self._peers.drop
+            own=hello, on_frame=self._handle_peer, on_loss=self._peers.drop
         )
         self._coordinator = Coordinator(
             fleet=self._fleet,
@@ -263,10 +263,12 @@
             run=self._tickets.run,
             look_up=self._tickets.look_up,
             is_leaving=lambda: self._is_leaving,
-            get_unsettled=self._get_unsettled,
+            get_startup_problem=self._get_startup_problem,
         )
         self._callers = CallersApp(handlers=handlers)
-        admin = AdminApp(get_unready=self._get_unready, get_status=self._get_status)
+        admin = AdminApp(
+            get_not_ready_reason=self._get_not_ready_reason, get_status=self._get_status
+        )
         for app, address in (
             (self._callers, self._own.callers),
             (admin, self._own.admin),
@@ -318,12 +320,12 @@
 
     # Readiness and status.
 
-    def _get_unready(self) -> str:
+    def _get_not_ready_reason(self) -> str:
         if self._is_leaving:
             return "stopping"
-        return self._get_unsettled()
+        return self._get_startup_problem()
 
-    def _get_unsettled(self) -> str:
+    def _get_startup_problem(self) -> str:
         """Return what this process still lacks to serve requests, or ""."""
         if not self._membership.joined:
             return "no peer has answered yet"
@@ -341,7 +343,7 @@
             data_centre=self._own.data_centre,
             incarnation=self._incarnation,
             state="leaving" if self._is_leaving else "live",
-            unready=self._get_unready(),
+            unready=self._get_not_ready_reason(),
             settings=SettingsStatus(
                 version=active.version,
                 source=active.source,
@@ -401,7 +403,7 @@
         drain = self._settings.control.drain_ms / 1_000
         self._is_leaving = True
         log_decision(logger, "leaving", request_id=None, host=self._own.name)
-        self._acceptor.announce_leaving()
+        self._acceptor.send_going_away()
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
         await trio.sleep(min(LEAVE_NOTICE_S, drain / 2))
         with trio.move_on_after(drain):
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -36,7 +36,7 @@
 from ..state.member import Member
 from ..state.settings import Settings
 from ..state.snapshot import Published
-from ..transport.channel import Loss
+from ..transport.channel import LossReason
 from ..transport.dialer import Dialer
 from ..transport.platform import PlatformClient
 from .fleet import Fleet
@@ -237,7 +237,7 @@
         if address is None:
             return None
         channel = await self._dialer.dial(host, address)
-        if isinstance(channel, Loss):
+        if isinstance(channel, LossReason):
             return None
         fetch = Fetch(name=name, at_least=at_least)
         reply = await channel.ask(fetch, limit=FETCH_TIMEOUT_S)
--- a/src/lavendergap/entry/feedpeers.py
+++ b/src/lavendergap/entry/feedpeers.py
@@ -17,7 +17,7 @@
 from ..coordination.watchers import choose_watch_holders
 from ..protocol.messages import FeedFetch, FeedState, FeedUpdate, Frame, StrikeReport
 from ..state.quarantine import Strike
-from ..transport.channel import Loss
+from ..transport.channel import LossReason
 from ..transport.dialer import Dialer
 from .fleet import Fleet
 
@@ -138,7 +138,7 @@
         if address is None:
             return
         channel = await self._dialer.dial(host, address)
-        if not isinstance(channel, Loss):
+        if not isinstance(channel, LossReason):
             channel.send(Frame(id=0, message=message))
 
     async def fetch(
@@ -156,7 +156,7 @@
         if host is None or address is None:
             return None
         channel = await self._dialer.dial(host, address)
-        if isinstance(channel, Loss):
+        if isinstance(channel, LossReason):
             return None
         reply = await channel.ask(
             FeedFetch(feed=feed, hashes=hashes), limit=FETCH_TIMEOUT_S
--- a/src/lavendergap/entry/gateway.py
+++ b/src/lavendergap/entry/gateway.py
@@ -250,7 +250,7 @@
             feeds=self._feeds,
         )
         self._acceptor = Acceptor(
-            own=hello, handle=self._handle_peer, lose=self._peers.drop
+            own=hello, on_frame=self._handle_peer, on_loss=self._peers.drop
         )
         self._forwarder = Forwarder(
             fleet=self._fleet,
@@ -262,10 +262,10 @@
             regions=host.regions,
         )
 
-    def _make_client(self, server: Server, idle_limit: float) -> ForwardClient:
+    def _make_client(self, server: Server, idle_timeout_s: float) -> ForwardClient:
         return ForwardClient(
             server=server,
-            idle_limit=idle_limit,
+            idle_timeout_s=idle_timeout_s,
             names=self._adapter.header_names,
             nursery=self._nursery,
         )
@@ -282,7 +282,9 @@
         self._callers = GatewayApp(
             handlers=handlers, names=self._adapter.header_names, cores=self._host.cores
         )
-        admin = AdminApp(get_unready=self._get_unready, get_status=self._get_status)
+        admin = AdminApp(
+            get_not_ready_reason=self._get_not_ready_reason, get_status=self._get_status
+        )
         for app, address in (
             (self._callers, self._host.callers),
             (admin, self._host.admin),
@@ -358,7 +360,7 @@
 
     # Readiness and status.
 
-    def _get_unready(self) -> str:
+    def _get_not_ready_reason(self) -> str:
         if self._is_leaving:
             return "stopping"
         if self._active_config.index is None:
@@ -374,7 +376,7 @@
         return _Status(
             host=self._host.name,
             data_centre=self._host.data_centre,
-            unready=self._get_unready(),
+            unready=self._get_not_ready_reason(),
             routes_version=index.table.version if index else 0,
             n_servers=len(self._active_config.servers),
             members=sorted(self._membership.live()),
@@ -425,7 +427,7 @@
         stop_at = trio.current_time() + self._host.bounds.stop_within_s - STOP_RESERVE_S
         self._is_leaving = True
         log_decision(logger, "leaving", request_id=None, host=self._host.name)
-        self._acceptor.announce_leaving()
+        self._acceptor.send_going_away()
         await self._endpoint.send(self._membership.leave(now=trio.current_time()))
         await trio.sleep(min(LEAVE_NOTICE_S, self._host.bounds.stop_within_s / 2))
         with trio.move_on_at(stop_at):
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -63,9 +63,9 @@
 MakeClient = Callable[[Server, float], Client]
 
 
-def make_backend_client(server: Server, idle_limit: float) -> Client:
-    """Return the connections to `server`, idle ones kept for `idle_limit` seconds."""
-    return BackendClient(server=server, idle_limit=idle_limit)
+def make_backend_client(server: Server, idle_timeout_s: float) -> Client:
+    """Return the connections to `server`, idle ones kept for `idle_timeout_s`."""
+    return BackendClient(server=server, idle_timeout_s=idle_timeout_s)
 
 
 class GroupRunner:
@@ -117,7 +117,7 @@
         nursery.start_soon(self._run)
 
     def _add_clients(self, group: Group) -> None:
-        idle_limit = self._settings.control.idle_connection_ms / 1_000
+        idle_timeout_s = self._settings.control.idle_connection_ms / 1_000
         before, self._clients = self._clients, {}
         for server in group.servers:
             held = before.get(server.name)
@@ -125,7 +125,7 @@
                 held.server = server
                 self._clients[server.name] = before.pop(server.name)
             else:
-                self._clients[server.name] = self._make_client(server, idle_limit)
+                self._clients[server.name] = self._make_client(server, idle_timeout_s)
         for client in before.values():
             # Otherwise its connections would stay open to a process that has ended or
             # takes no new work, and count against that server's limit.
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -31,7 +31,7 @@
 from ..state.outcome import Answered, NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import AnswerByGoal, Service
 from ..state.snapshot import Shard, Snapshot
-from ..transport.channel import Channel, Exchange, Loss
+from ..transport.channel import Channel, LossReason, ReplyHandlers
 from ..transport.dialer import Dialer
 from .batch import SubmittedCall
 from .fleet import Fleet
@@ -266,7 +266,7 @@
                 sub_query.check_at = sub_query.sent_at + MIN_DIAL_S
             else:
                 sub_query.check_at = float("inf")
-                self._handle_loss(sub_query, Loss.SILENT)
+                self._handle_loss(sub_query, LossReason.SILENT)
 
     def _time_at_share(self, since: float, share: float) -> float:
         return since + share * (max(self._answer_by, since) - since)
@@ -375,12 +375,12 @@
     async def _dial_and_send(self, sub_query: SubQuery) -> None:
         address = self._fleet.get_address(sub_query.host)
         if address is None:
-            self._handle_loss(sub_query, Loss.REFUSED)
+            self._handle_loss(sub_query, LossReason.REFUSED)
             return
         channel = await self._dialer.dial(sub_query.host, address)
         if not sub_query.open_shards:
             return
-        if isinstance(channel, Loss):
+        if isinstance(channel, LossReason):
             self._handle_loss(sub_query, channel)
         else:
             self._send_over(sub_query, channel)
@@ -405,9 +405,9 @@
                 ),
                 greatest=self._make_greatest(sub_query),
             ),
-            Exchange(
-                reply=lambda message: self._handle_message(sub_query, message),
-                lose=lambda loss: self._handle_loss(sub_query, loss),
+            ReplyHandlers(
+                on_reply=lambda message: self._handle_message(sub_query, message),
+                on_loss=lambda loss: self._handle_loss(sub_query, loss),
             ),
         )
 
@@ -540,7 +540,7 @@
         self._join.add(shard.name, outcome, answer.server, now=now)
         self._progress.set()
 
-    def _handle_loss(self, sub_query: SubQuery, loss: Loss) -> None:
+    def _handle_loss(self, sub_query: SubQuery, loss: LossReason) -> None:
         """Send shards that a lost owner has not answered to the hosts ranked next."""
         if not sub_query.open_shards:
             return
@@ -558,7 +558,7 @@
             n_shards=len(shards),
         )
         # Without an open channel, nothing had been sent to the owner.
-        is_uncertain = loss is not Loss.REFUSED and sub_query.channel is not None
+        is_uncertain = loss is not LossReason.REFUSED and sub_query.channel is not None
         if is_uncertain:
             self._may_have_run = True
             n_sent = self._count_sent(sub_query, now)
--- a/src/lavendergap/entry/ticketclient.py
+++ b/src/lavendergap/entry/ticketclient.py
@@ -7,7 +7,7 @@
 from ..protocol.messages import BadFrameError, Message, TicketReply, TicketRequest
 from ..protocol.tickets import PING, Reply, decode_reply
 from ..state.ticket import Peer
-from ..transport.channel import Channel, Loss
+from ..transport.channel import Channel, LossReason
 from ..transport.dialer import Dialer
 from .fleet import Fleet
 
@@ -88,7 +88,7 @@
             return channel
         left = give_up_at - trio.current_time()
         reply = await self._exchange(channel, TicketRequest(verb=PING, ticket=""), left)
-        if isinstance(reply, Loss) or not channel.is_open:
+        if isinstance(reply, LossReason) or not channel.is_open:
             return None
         return channel
 
@@ -115,11 +115,15 @@
 
     async def _exchange(
         self, channel: Channel, ask: TicketRequest, limit: float
-    ) -> Message | Loss:
+    ) -> Message | LossReason:
         if limit <= 0 or not channel.is_open:
-            return Loss.SILENT
+            return LossReason.SILENT
         reply = await channel.ask(ask, limit=limit)
-        if reply is Loss.SILENT and channel.is_open and channel not in self._verifying:
+        if (
+            reply is LossReason.SILENT
+            and channel.is_open
+            and channel not in self._verifying
+        ):
             # A channel checks for silence only while a reply is due. Messages with
             # shorter limits would keep using a dead channel; a ping with a longer
             # limit has it closed, and the next message opens a new one.
--- a/src/lavendergap/entry/ticketservice.py
+++ b/src/lavendergap/entry/ticketservice.py
@@ -64,7 +64,7 @@
     WitnessRequest,
     parse_ticket,
 )
-from ..transport.callers import CallerRequest, RunAnswer, RunResult, TicketText
+from ..transport.callers import CallerRequest, IssuedTicket, RunAnswer, RunResult
 from ..transport.callers import Pending as PendingAnswer
 from ..transport.dialer import Dialer
 from ..transport.web import BadRequestError
@@ -144,7 +144,7 @@
 
     # For callers.
 
-    async def issue(self, request: CallerRequest) -> TicketText | Refusal:
+    async def issue(self, request: CallerRequest) -> IssuedTicket | Refusal:
         """Issue a ticket, with a witness in another data centre if possible."""
         witness = await self._open_witness()
         issued = self._issuer.issue(
@@ -160,7 +160,7 @@
             serial=issued.serial,
             witness=witness.host if witness else "none",
         )
-        return TicketText(text=str(issued))
+        return IssuedTicket(text=str(issued))
 
     async def run(self, request: CallerRequest, text: str) -> RunAnswer:
         """Have a ticket's request run by its issuer; return its outcome."""
--- a/src/lavendergap/transport/acceptor.py
+++ b/src/lavendergap/transport/acceptor.py
@@ -6,7 +6,7 @@
 
 from .. import metrics
 from ..protocol.messages import Frame, GoingAway, Hello
-from .channel import Channel, Loss
+from .channel import Channel, LossReason
 
 HELLO_TIMEOUT_S = 2.0
 # Far more than a fleet has hosts; further connections cannot be peers.
@@ -14,18 +14,18 @@
 
 
 class Acceptor:
-    """Accepts peers' channels and hands each request to `handle`."""
+    """Accepts peers' channels and hands each request to `on_frame`."""
 
     def __init__(
         self,
         *,
         own: Hello,
-        handle: Callable[[Channel, Frame], None],
-        lose: Callable[[Channel], None],
+        on_frame: Callable[[Channel, Frame], None],
+        on_loss: Callable[[Channel], None],
     ) -> None:
         self._own = own
-        self._handle = handle
-        self._on_lost = lose
+        self._on_frame = on_frame
+        self._on_loss = on_loss
         self._channels: set[Channel] = set()
 
     async def serve(self, listener: trio.SocketListener) -> None:
@@ -45,8 +45,8 @@
         channel = Channel(
             stream=stream,
             own=self._own,
-            handle=self._handle,
-            lose=self._drop,
+            on_frame=self._on_frame,
+            on_loss=self._drop,
         )
         self._channels.add(channel)
         channel.send(Frame(id=0, message=self._own))
@@ -55,11 +55,11 @@
             await channel.run()
             nursery.cancel_scope.cancel()
 
-    def _drop(self, channel: Channel, loss: Loss) -> None:
+    def _drop(self, channel: Channel, loss: LossReason) -> None:
         self._channels.discard(channel)
-        self._on_lost(channel)
+        self._on_loss(channel)
 
-    def announce_leaving(self) -> None:
+    def send_going_away(self) -> None:
         """Send GoingAway to every peer, since this process is stopping."""
         for channel in self._channels:
             channel.send(Frame(id=0, message=GoingAway()))
@@ -67,7 +67,7 @@
 
 async def _close_without_hello(channel: Channel) -> None:
     with trio.move_on_after(HELLO_TIMEOUT_S):
-        await channel.greeted.wait()
+        await channel.hello_received.wait()
         return
     metrics.rejected_input.labels("peers", "no hello").inc()
-    channel.close(Loss.BAD_FRAME)
+    channel.close(LossReason.BAD_FRAME)
--- a/src/lavendergap/transport/admin.py
+++ b/src/lavendergap/transport/admin.py
@@ -19,16 +19,16 @@
 class AdminApp:
     """An ASGI application.
 
-    `get_unready` returns why the host is not ready, or "" when it is ready.
+    `get_not_ready_reason` returns why the host is not ready, or "" when it is ready.
     """
 
     def __init__(
         self,
         *,
-        get_unready: Callable[[], str],
+        get_not_ready_reason: Callable[[], str],
         get_status: Callable[[], msgspec.Struct],
     ) -> None:
-        self._get_unready = get_unready
+        self._get_not_ready_reason = get_not_ready_reason
         self._get_status = get_status
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -51,7 +51,7 @@
             case "/health":
                 return _answer(HTTPStatus.OK, {"health": "alive"})
             case "/ready":
-                reason = self._get_unready()
+                reason = self._get_not_ready_reason()
                 status = HTTPStatus.SERVICE_UNAVAILABLE if reason else HTTPStatus.OK
                 return _answer(status, ReadyBody(ready=not reason, reason=reason))
             case "/status":
--- a/src/lavendergap/transport/backend.py
+++ b/src/lavendergap/transport/backend.py
@@ -68,14 +68,14 @@
     """All connections of this process to one backend server.
 
     `call` raises nothing for a failure of the server or the network; it returns a
-    `Verdict`. `idle_limit` is how long an idle connection is kept, in seconds.
+    `Verdict`. `idle_timeout_s` is how long an idle connection is kept.
     """
 
-    def __init__(self, *, server: Server, idle_limit: float) -> None:
+    def __init__(self, *, server: Server, idle_timeout_s: float) -> None:
         self.server = server
         self.n_open = 0
         self._mean_latency_s = 0.0
-        self._idle_limit = idle_limit
+        self._idle_timeout_s = idle_timeout_s
         self._idle: list[Connection] = []
         self._origin = httpcore.Origin(
             b"http", server.address.ip.encode(), server.address.port
@@ -195,7 +195,7 @@
         newest = self._idle[-1]
         if not call.idempotent and now - newest.answered_at > MAX_TRUSTED_IDLE_S:
             return None
-        if now - newest.answered_at > self._idle_limit or newest.http.has_expired():
+        if now - newest.answered_at > self._idle_timeout_s or newest.http.has_expired():
             return None
         return self._idle.pop()
 
@@ -286,7 +286,7 @@
         kept: list[Connection] = []
         old: list[Connection] = []
         for connection in self._idle:
-            is_old = now - connection.answered_at > self._idle_limit
+            is_old = now - connection.answered_at > self._idle_timeout_s
             (old if is_old or connection.http.has_expired() else kept).append(
                 connection
             )
--- a/src/lavendergap/transport/callers.py
+++ b/src/lavendergap/transport/callers.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TicketText:
+class IssuedTicket:
     """A ticket that was issued to a caller."""
 
     text: str
@@ -84,11 +84,11 @@
 
     get_settings: Callable[[], Settings]
     search: Callable[[CallerRequest], Awaitable[SearchResult | Refusal]]
-    issue: Callable[[CallerRequest], Awaitable[TicketText | Refusal]]
+    issue: Callable[[CallerRequest], Awaitable[IssuedTicket | Refusal]]
     run: Callable[[CallerRequest, str], Awaitable[RunAnswer]]
     look_up: Callable[[str, str], Awaitable[RunAnswer]]
     is_leaving: Callable[[], bool]
-    get_unsettled: Callable[[], str]
+    get_startup_problem: Callable[[], str]
 
 
 class CallersApp:
@@ -157,7 +157,7 @@
         The file may be out of date: accepted edits may have replaced its settings.
         The load balancer sends no requests to this host then, but some may arrive.
         """
-        detail = self._handlers.get_unsettled()
+        detail = self._handlers.get_startup_problem()
         if not detail:
             return None
         outcome = NotRun(step=Step.ADMIT, peer=detail, reason=Reason.NOT_READY)
@@ -241,7 +241,7 @@
         _require_not_idempotent(request.service)
         issued = await self._handlers.issue(request)
         match issued:
-            case TicketText(text=text):
+            case IssuedTicket(text=text):
                 body = msgspec.json.encode({"ticket": text})
                 return Response(status=HTTPStatus.CREATED, body=body)
             case Refusal():
--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -31,7 +31,7 @@
     encode_frame,
     read_length_prefix,
 )
-from .rounds import get_periodic_checks
+from .periodic import get_periodic_checks
 
 logger = logging.getLogger("lavendergap.connections")
 
@@ -44,7 +44,7 @@
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
 
 
-class Loss(StrEnum):
+class LossReason(StrEnum):
     """Why a channel ended."""
 
     CLOSED = "closed by the peer"
@@ -58,19 +58,19 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Exchange:
+class ReplyHandlers:
     """Callbacks of a request: for each reply, and for the loss of its channel."""
 
-    reply: Callable[[Message], None]
-    lose: Callable[[Loss], None]
+    on_reply: Callable[[Message], None]
+    on_loss: Callable[[LossReason], None]
 
 
 class Channel:
     """One TCP connection between two entry processes.
 
-    The accepting side gets each request's frame through `handle` and replies with
+    The accepting side gets each request's frame through `on_frame` and replies with
     `send`. The dialling side calls `request`, and `forget` once it expects no more
-    replies. `lose` is called when the channel has ended.
+    replies. `on_loss` is called when the channel has ended.
     """
 
     def __init__(
@@ -78,18 +78,18 @@
         *,
         stream: trio.abc.Stream,
         own: Hello,
-        handle: Callable[["Channel", Frame], None] | None = None,
-        lose: Callable[["Channel", Loss], None] | None = None,
+        on_frame: Callable[["Channel", Frame], None] | None = None,
+        on_loss: Callable[["Channel", LossReason], None] | None = None,
     ) -> None:
         self.peer: Hello | None = None
-        self.greeted = trio.Event()
+        self.hello_received = trio.Event()
         self.is_open = True
         self.is_leaving = False
         self._stream = stream
         self._own = own
-        self._handle = handle
-        self._lose = lose
-        self._exchanges: dict[int, Exchange] = {}
+        self._on_frame = on_frame
+        self._on_loss = on_loss
+        self._reply_handlers: dict[int, ReplyHandlers] = {}
         self._last_id = 0
         self._received_at = 0.0
         # The send time of the first request after which no byte was received. It stays
@@ -100,12 +100,12 @@
         self._unsent = bytearray()
         self._has_unsent = trio.Event()
         self._scope = trio.CancelScope()
-        self._forced_loss: Loss | None = None
+        self._forced_loss: LossReason | None = None
 
     async def run(self) -> None:
         """Read and write until the channel ends, then report the loss."""
         metrics.peer_channels.inc()
-        loss = Loss.STOPPED
+        loss = LossReason.STOPPED
         self._received_at = trio.current_time()
         checks = get_periodic_checks(interval=HEARTBEAT_AFTER_S / 2)
         checks.add(self)
@@ -115,13 +115,13 @@
                     nursery.start_soon(self._write)
                     await self._read()
                     nursery.cancel_scope.cancel()
-                    loss = Loss.CLOSED
+                    loss = LossReason.CLOSED
         except* BadFrameError as group:
-            loss = Loss.BAD_FRAME
+            loss = LossReason.BAD_FRAME
             metrics.rejected_input.labels("peers", "bad frame").inc()
             logger.warning("bad frame from %s: %s", self._peer_name, group.exceptions)
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            loss = Loss.RESET
+            loss = LossReason.RESET
         finally:
             checks.discard(self)
             metrics.peer_channels.dec()
@@ -131,20 +131,20 @@
     def _peer_name(self) -> str:
         return self.peer.host if self.peer else "a peer that has not sent Hello"
 
-    async def _end(self, loss: Loss) -> None:
+    async def _end(self, loss: LossReason) -> None:
         loss = self._forced_loss or loss
         self.is_open = False
-        self.greeted.set()
+        self.hello_received.set()
         with trio.CancelScope(shield=True):
             await trio.aclose_forcefully(self._stream)
         metrics.channel_losses.labels(loss.value).inc()
-        exchanges, self._exchanges = self._exchanges, {}
-        for exchange in exchanges.values():
-            exchange.lose(loss)
-        if self._lose is not None:
-            self._lose(self, loss)
+        all_handlers, self._reply_handlers = self._reply_handlers, {}
+        for handlers in all_handlers.values():
+            handlers.on_loss(loss)
+        if self._on_loss is not None:
+            self._on_loss(self, loss)
 
-    def close(self, loss: Loss = Loss.STOPPED) -> None:
+    def close(self, loss: LossReason = LossReason.STOPPED) -> None:
         """End the channel at once; pending requests are lost with `loss`."""
         self.is_open = False
         self._forced_loss = loss
@@ -158,15 +158,15 @@
         if len(self._unsent) > MAX_UNSENT_BYTES:
             # The queue of a peer that does not read would exhaust the memory.
             # Closing frees it, and the requests go to other hosts.
-            self.close(Loss.SLOW_READER)
+            self.close(LossReason.SLOW_READER)
         self._has_unsent.set()
 
-    def request(self, message: Message, exchange: Exchange) -> int:
-        """Send a request and return its id; `exchange` receives its replies or loss."""
+    def request(self, message: Message, handlers: ReplyHandlers) -> int:
+        """Send a request and return its id; `handlers` receives its replies or loss."""
         self._last_id += 1
         if self._unanswered_since is None:
             self._unanswered_since = trio.current_time()
-        self._exchanges[self._last_id] = exchange
+        self._reply_handlers[self._last_id] = handlers
         self.send(Frame(id=self._last_id, message=message))
         return self._last_id
 
@@ -182,24 +182,24 @@
 
     def forget(self, request_id: int) -> None:
         """Discard any further replies to this request."""
-        self._exchanges.pop(request_id, None)
+        self._reply_handlers.pop(request_id, None)
 
-    async def ask(self, message: Message, *, limit: float) -> Message | Loss:
+    async def ask(self, message: Message, *, limit: float) -> Message | LossReason:
         """Send a request and wait up to `limit` seconds for its only reply."""
-        sender, receiver = trio.open_memory_channel[Message | Loss](1)
+        sender, receiver = trio.open_memory_channel[Message | LossReason](1)
 
-        def put(result: Message | Loss) -> None:
+        def put(result: Message | LossReason) -> None:
             # A second reply, or a loss after the reply, is ignored.
             with suppress(trio.WouldBlock, trio.BrokenResourceError):
                 sender.send_nowait(result)
 
-        request_id = self.request(message, Exchange(reply=put, lose=put))
+        request_id = self.request(message, ReplyHandlers(on_reply=put, on_loss=put))
         try:
             with trio.move_on_after(limit):
                 return await receiver.receive()
         finally:
             self.forget(request_id)
-        return Loss.SILENT
+        return LossReason.SILENT
 
     async def _write(self) -> None:
         while True:
@@ -216,13 +216,13 @@
         a Ping is sent. If that is not answered in time, the channel is closed, so
         that its requests can be retried over a new one before their deadlines.
         """
-        if now - self._received_at > IDLE_TIMEOUT_S and not self._exchanges:
-            self.close(Loss.IDLE)
+        if now - self._received_at > IDLE_TIMEOUT_S and not self._reply_handlers:
+            self.close(LossReason.IDLE)
         elif self._pinged_at is not None:
             # Measured from the ping, not from the request: after a stall of this
             # process the request may be old although no ping was sent yet.
             if now - self._pinged_at > SILENCE_TIMEOUT_S - HEARTBEAT_AFTER_S:
-                self.close(Loss.SILENT)
+                self.close(LossReason.SILENT)
         elif self._is_ping_due(now):
             self.ping()
 
@@ -237,7 +237,7 @@
             self._pinged_at = None
             buffer += data
             self._process_frames(buffer)
-            self._unanswered_since = self._received_at if self._exchanges else None
+            self._unanswered_since = self._received_at if self._reply_handlers else None
 
     def _process_frames(self, buffer: bytearray) -> None:
         start = 0
@@ -272,16 +272,16 @@
         if hello.deployment != self._own.deployment:
             raise BadFrameError(problem=f"deployment {hello.deployment!r}")
         self.peer = hello
-        self.greeted.set()
+        self.hello_received.set()
 
     def _deliver(self, frame: Frame, message: Message) -> None:
         if self.peer is None:
             raise BadFrameError(problem="a message before Hello")
-        if self._handle is not None:
-            self._handle(self, frame)
+        if self._on_frame is not None:
+            self._on_frame(self, frame)
             return
-        exchange = self._exchanges.get(frame.id)
-        if exchange is None:
+        handlers = self._reply_handlers.get(frame.id)
+        if handlers is None:
             metrics.dropped_answers.labels("late reply of a peer").inc()
         else:
-            exchange.reply(message)
+            handlers.on_reply(message)
--- a/src/lavendergap/transport/dialer.py
+++ b/src/lavendergap/transport/dialer.py
@@ -8,7 +8,7 @@
 
 from ..protocol.messages import Frame, Hello
 from ..state.settings import Address
-from .channel import Channel, Loss
+from .channel import Channel, LossReason
 
 logger = logging.getLogger("lavendergap.connections")
 
@@ -25,7 +25,7 @@
     """A dial in progress; `result` is valid once `done` is set."""
 
     done: trio.Event = field(default_factory=trio.Event)
-    result: Channel | Loss = Loss.STOPPED
+    result: Channel | LossReason = LossReason.STOPPED
 
 
 class Dialer:
@@ -51,7 +51,7 @@
             return None
         return channel
 
-    async def dial(self, host: str, address: Address) -> Channel | Loss:
+    async def dial(self, host: str, address: Address) -> Channel | LossReason:
         """Return a channel to `host`, opening one if there is none.
 
         Concurrent calls share one dial, which continues when one of them is
@@ -75,31 +75,31 @@
             del self._dials[host]
             dial.done.set()
 
-    async def _open(self, host: str, address: Address) -> Channel | Loss:
+    async def _open(self, host: str, address: Address) -> Channel | LossReason:
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await self._connect(address)
         except trio.TooSlowError:
-            return Loss.SILENT
+            return LossReason.SILENT
         except OSError:
-            return Loss.REFUSED
-        channel = Channel(stream=stream, own=self._own, lose=self._drop)
+            return LossReason.REFUSED
+        channel = Channel(stream=stream, own=self._own, on_loss=self._drop)
         channel.send(Frame(id=0, message=self._own))
         self._nursery.start_soon(channel.run)
         with trio.move_on_after(CONNECT_TIMEOUT_S):
-            await channel.greeted.wait()
-        return self._admit(host, channel)
+            await channel.hello_received.wait()
+        return self._check_peer(host, channel)
 
-    def _admit(self, host: str, channel: Channel) -> Channel | Loss:
+    def _check_peer(self, host: str, channel: Channel) -> Channel | LossReason:
         # The address may belong to another host by now. A request for one host must
         # not be served by another, so the name has to match.
         if channel.peer is None or channel.peer.host != host:
-            channel.close(Loss.REFUSED)
-            return Loss.REFUSED if channel.peer else Loss.SILENT
+            channel.close(LossReason.REFUSED)
+            return LossReason.REFUSED if channel.peer else LossReason.SILENT
         self._channels[host] = channel
         return channel
 
-    def _drop(self, channel: Channel, loss: Loss) -> None:
+    def _drop(self, channel: Channel, loss: LossReason) -> None:
         for host, held in list(self._channels.items()):
             if held is channel:
                 del self._channels[host]
--- a/src/lavendergap/transport/forward.py
+++ b/src/lavendergap/transport/forward.py
@@ -23,7 +23,7 @@
 )
 from ..state.outcome import NotRun, Outcome, Reason, Step, Unknown
 from ..state.settings import Server
-from .link import Exchange, Result, ServerConnection, has_input
+from .serverconnection import Exchange, Result, ServerConnection, has_input
 
 logger = get_logger(Category.CONNECTIONS)
 
@@ -51,7 +51,7 @@
     """All connections of this process to one backend server.
 
     `call` and `begin` raise nothing for a failure of the server or the network.
-    `idle_limit` is how long an idle connection is kept, in seconds, unless the server's
+    `idle_timeout_s` is how long an idle connection is kept, unless the server's
     answers state a shorter time. The connections' tasks run in `nursery`.
     """
 
@@ -59,13 +59,13 @@
         self,
         *,
         server: Server,
-        idle_limit: float,
+        idle_timeout_s: float,
         names: HeaderNames,
         nursery: trio.Nursery,
     ) -> None:
         self.server = server
         self.n_open = 0
-        self._idle_limit = idle_limit
+        self._idle_timeout_s = idle_timeout_s
         self._names = names
         self._nursery = nursery
         self._idle: list[ServerConnection] = []
@@ -129,7 +129,7 @@
         old = [
             connection
             for connection in self._idle
-            if now - connection.answered_at > connection.idle_limit
+            if now - connection.answered_at > connection.idle_timeout_s
         ]
         for connection in old:
             connection.drop(Reason.LOST_CONNECTION)
@@ -214,7 +214,7 @@
                 return None
             self._idle.pop()
             # The server may have closed it before its task could run again.
-            if age <= connection.idle_limit and not has_input(connection):
+            if age <= connection.idle_timeout_s and not has_input(connection):
                 return connection
             connection.drop(Reason.LOST_CONNECTION)
         return None
@@ -262,7 +262,9 @@
         return connection
 
     def _make_connection(self, connected: socket.socket) -> ServerConnection:
-        return ServerConnection(raw=connected, idle_limit=self._idle_limit, owner=self)
+        return ServerConnection(
+            raw=connected, idle_timeout_s=self._idle_timeout_s, owner=self
+        )
 
     def _log_connect_failure(self, call: Call, error: Exception) -> None:
         log_decision(
@@ -348,10 +350,10 @@
         headers = reader.headers
         if headers.get(self._names.attempt) != exchange.call.forward.attempt:
             return False
-        connection.idle_limit = min(
-            self._idle_limit, _read_keep_alive(headers.get(b"keep-alive", b""))
+        connection.idle_timeout_s = min(
+            self._idle_timeout_s, _read_keep_alive(headers.get(b"keep-alive", b""))
         )
-        if connection.idle_limit <= 0:
+        if connection.idle_timeout_s <= 0:
             return False
         connection.answered_at = trio.current_time()
         self._idle.append(connection)
--- a/src/lavendergap/transport/exchange.py
+++ b/src/lavendergap/transport/httpclient.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Reply:
+class HttpReply:
     """A complete answer; header names are in lower case."""
 
     status: int
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Lost:
+class FailedCall:
     """A call without an answer: the step that failed and the reason.
 
     `sent` is whether a byte of the request may have been sent, so that the call may
@@ -61,8 +61,10 @@
     async def trace(self, event: str, _info: Mapping[str, Any]) -> None:
         self.step = _STEPS.get(event, self.step)
 
-    def fail(self, reason: Reason) -> Lost:
-        return Lost(step=self.step, reason=reason, sent=self.step is not Step.CONNECT)
+    def fail(self, reason: Reason) -> FailedCall:
+        return FailedCall(
+            step=self.step, reason=reason, sent=self.step is not Step.CONNECT
+        )
 
 
 def _make_pool() -> httpcore.AsyncConnectionPool:
@@ -79,7 +81,7 @@
     n_calls: int = 0
 
 
-class Exchange:
+class HttpClient:
     """An HTTP client of one address that reuses connections.
 
     A reused connection may be silent while new ones work, and each call on it would
@@ -103,7 +105,7 @@
         limit_s: float,
         headers: Mapping[str, str] | None = None,
         body: bytes | None = None,
-    ) -> Reply | Lost:
+    ) -> HttpReply | FailedCall:
         """Make a call of up to `limit_s` seconds; return its answer of any status."""
         progress = _Progress()
         generation = self._generation
@@ -133,7 +135,7 @@
         headers: Mapping[str, str],
         body: bytes | None,
         progress: _Progress,
-    ) -> Reply | Lost:
+    ) -> HttpReply | FailedCall:
         async with pool.stream(
             method,
             f"http://{self.address}{path}",
@@ -150,7 +152,7 @@
                 name.decode("latin-1").lower(): value.decode("latin-1")
                 for name, value in response.headers
             }
-        return Reply(status=response.status, headers=names, body=bytes(received))
+        return HttpReply(status=response.status, headers=names, body=bytes(received))
 
     def _retire(self, generation: _Generation) -> None:
         if generation is self._generation:
--- a/src/lavendergap/transport/platform.py
+++ b/src/lavendergap/transport/platform.py
@@ -10,7 +10,7 @@
 
 from ..state.outcome import Reason, Step
 from ..state.settings import Address
-from .exchange import Exchange, Lost, Reply
+from .httpclient import FailedCall, HttpClient, HttpReply
 
 PEER = "platform"
 DEFAULT_LIMIT_S = 2.0
@@ -133,7 +133,7 @@
 
     def __init__(self, *, address: Address, limit_s: float = DEFAULT_LIMIT_S) -> None:
         self.limit_s = limit_s
-        self._exchange = Exchange(address=address)
+        self._client = HttpClient(address=address)
 
     async def __aenter__(self) -> "PlatformClient":
         return self
@@ -143,15 +143,15 @@
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self._exchange.aclose()
+        await self._client.aclose()
 
     async def get(self, key: str) -> Found | Missing | Refused | Unavailable:
         """Read an object. The result may be stale: compare versions before using it."""
         reply = await self._read(_make_path(key))
         match reply:
-            case Reply(status=HTTPStatus.OK):
+            case HttpReply(status=HTTPStatus.OK):
                 return _read_object(key, reply)
-            case Reply(status=HTTPStatus.NOT_FOUND):
+            case HttpReply(status=HTTPStatus.NOT_FOUND):
                 return Missing(key=key)
         return _classify_failure(reply)
 
@@ -164,14 +164,14 @@
             headers["If-None-Match"] = "*"
         else:
             headers["If-Match"] = f'"{base}"'
-        reply = await self._exchange.call(
+        reply = await self._client.call(
             "PUT", _make_path(key), limit_s=self.limit_s, headers=headers, body=value
         )
         match reply:
-            case Reply(status=HTTPStatus.OK):
+            case HttpReply(status=HTTPStatus.OK):
                 version = _parse_version(reply)
                 return _INVALID_ANSWER if version is None else Stored(version=version)
-            case Reply(status=HTTPStatus.PRECONDITION_FAILED):
+            case HttpReply(status=HTTPStatus.PRECONDITION_FAILED):
                 return Conflict(version=_parse_version(reply))
         return _classify_failure(reply)
 
@@ -180,13 +180,13 @@
     ) -> Found | NotModified | Missing | Refused | Unavailable:
         """Wait up to `wait_s` seconds for a version greater than `after`."""
         path = _make_path(key, after=after, wait_ms=round(wait_s * 1_000))
-        reply = await self._exchange.call("GET", path, limit_s=wait_s + self.limit_s)
+        reply = await self._client.call("GET", path, limit_s=wait_s + self.limit_s)
         match reply:
-            case Reply(status=HTTPStatus.OK):
+            case HttpReply(status=HTTPStatus.OK):
                 return _read_object(key, reply)
-            case Reply(status=HTTPStatus.NOT_FOUND):
+            case HttpReply(status=HTTPStatus.NOT_FOUND):
                 return Missing(key=key)
-            case Reply(status=HTTPStatus.NOT_MODIFIED):
+            case HttpReply(status=HTTPStatus.NOT_MODIFIED):
                 return NotModified()
         return _classify_failure(reply)
 
@@ -202,9 +202,9 @@
         wait_ms = round(wait_s * 1_000)
         query = urlencode({"prefix": prefix, "after": after, "wait_ms": wait_ms})
         path = f"/objects?{query}"
-        reply = await self._exchange.call("GET", path, limit_s=wait_s + self.limit_s)
+        reply = await self._client.call("GET", path, limit_s=wait_s + self.limit_s)
         match reply:
-            case Reply(status=HTTPStatus.NOT_MODIFIED):
+            case HttpReply(status=HTTPStatus.NOT_MODIFIED):
                 return NotModified()
         return _decode(reply, Listing)
 
@@ -212,16 +212,16 @@
         """Read the platform's list of hosts, which may be stale."""
         return _decode(await self._read("/hosts"), HostList)
 
-    async def _read(self, path: str) -> Reply | Lost:
+    async def _read(self, path: str) -> HttpReply | FailedCall:
         """Read `path`; retry on a new connection if the first was lost or silent.
 
         Only the first call can use a reused connection that is silent. Its timeout
         is half of the limit, which leaves time for the retry.
         """
         limit_s = self.limit_s / 2
-        reply = await self._exchange.call("GET", path, limit_s=limit_s)
-        if isinstance(reply, Lost) and reply.reason in _RETRIED_REASONS:
-            reply = await self._exchange.call("GET", path, limit_s=limit_s)
+        reply = await self._client.call("GET", path, limit_s=limit_s)
+        if isinstance(reply, FailedCall) and reply.reason in _RETRIED_REASONS:
+            reply = await self._client.call("GET", path, limit_s=limit_s)
         return reply
 
 
@@ -230,13 +230,13 @@
     return f"/objects/{quote(key)}{query}"
 
 
-def _classify_failure(reply: Reply | Lost) -> Refused | Unavailable:
+def _classify_failure(reply: HttpReply | FailedCall) -> Refused | Unavailable:
     match reply:
-        case Lost(step=step, reason=reason, sent=sent):
+        case FailedCall(step=step, reason=reason, sent=sent):
             return Unavailable(step=step, reason=reason, sent=sent)
-        case Reply(status=HTTPStatus.TOO_MANY_REQUESTS):
+        case HttpReply(status=HTTPStatus.TOO_MANY_REQUESTS):
             return _make_unavailable(reply, Reason.OVERLOADED, sent=False)
-        case Reply(status=status) if _is_outage(status):
+        case HttpReply(status=status) if _is_outage(status):
             return _make_unavailable(reply, Reason.SERVER_ERROR, sent=True)
     message = ascii(reply.body[:_MAX_MESSAGE_BYTES].decode("utf-8", "replace"))
     return Refused(status=reply.status, message=message)
@@ -248,7 +248,7 @@
     )
 
 
-def _make_unavailable(reply: Reply, reason: Reason, *, sent: bool) -> Unavailable:
+def _make_unavailable(reply: HttpReply, reason: Reason, *, sent: bool) -> Unavailable:
     """Convert a 429 or a 5xx; the latter may come from a proxy before the store."""
     text = reply.headers.get("retry-after", "")
     is_number = text.isascii() and text.isdigit()
@@ -258,22 +258,22 @@
     )
 
 
-def _read_object(key: str, reply: Reply) -> Found | Unavailable:
+def _read_object(key: str, reply: HttpReply) -> Found | Unavailable:
     version = _parse_version(reply)
     if version is None:
         return _INVALID_ANSWER
     return Found(key=key, version=version, value=reply.body)
 
 
-def _parse_version(reply: Reply) -> int | None:
+def _parse_version(reply: HttpReply) -> int | None:
     found = _ETAG.fullmatch(reply.headers.get("etag", ""))
     return int(found.group(1)) if found else None
 
 
 def _decode(
-    reply: Reply | Lost, kind: type[_Decoded]
+    reply: HttpReply | FailedCall, kind: type[_Decoded]
 ) -> _Decoded | Refused | Unavailable:
-    if not isinstance(reply, Reply) or reply.status != HTTPStatus.OK:
+    if not isinstance(reply, HttpReply) or reply.status != HTTPStatus.OK:
         return _classify_failure(reply)
     try:
         return msgspec.json.decode(reply.body, type=kind)
--- a/src/lavendergap/transport/link.py
+++ b/src/lavendergap/transport/serverconnection.py
@@ -92,7 +92,7 @@
     __slots__ = (
         "raw",
         "answered_at",
-        "idle_limit",
+        "idle_timeout_s",
         "is_closed_by_server",
         "_exchange",
         "_owner",
@@ -102,11 +102,11 @@
     )
 
     def __init__(
-        self, *, raw: socket.socket, idle_limit: float, owner: ConnectionOwner
+        self, *, raw: socket.socket, idle_timeout_s: float, owner: ConnectionOwner
     ) -> None:
         self.raw = raw
         self.answered_at = trio.current_time()
-        self.idle_limit = idle_limit
+        self.idle_timeout_s = idle_timeout_s
         # Whether the server has closed its side.
         self.is_closed_by_server = False
         self._exchange: Exchange | None = None
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -135,7 +135,7 @@
             answer_ticket=refuse_tickets,
         )
         self.acceptor = Acceptor(
-            own=hello, handle=self.peers.handle, lose=self.peers.drop
+            own=hello, on_frame=self.peers.handle, on_loss=self.peers.drop
         )
         self.pinnings = {
             service.name: Pinning(published=make_default_index(service))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -216,7 +216,7 @@
                     "admin": "127.0.0.1:2",
                     "peer_ip": "127.0.0.1",
                     "peer_port": 3,
-                    "store": str(client._exchange.address),
+                    "store": str(client._client.address),
                     "bounds": {
                         "drain_ms": 1,
                         "stop_within_ms": 1,
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -144,7 +144,7 @@
 
 
 @asynccontextmanager
-async def open_bench(*, connections: int = 25, idle_limit: float = 15.0):
+async def open_bench(*, connections: int = 25, idle_timeout_s: float = 15.0):
     fake = FakeServer()
     async with trio.open_nursery() as nursery:
         [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -157,7 +157,7 @@
             slots=2,
             connections=connections,
         )
-        client = BackendClient(server=server, idle_limit=idle_limit)
+        client = BackendClient(server=server, idle_timeout_s=idle_timeout_s)
         yield Bench(fake=fake, server=server, client=client)
         nursery.cancel_scope.cancel()
 
@@ -189,7 +189,7 @@
             assert bench.fake.n_connections == 2
 
     async def test_idle_connections_are_closed_in_time(self, clock):
-        async with open_bench(idle_limit=3.0) as bench:
+        async with open_bench(idle_timeout_s=3.0) as bench:
             await bench.call_at_once(2)
             await trio.sleep(4.0)
             await bench.client.close_idle(now=trio.current_time())
@@ -312,7 +312,7 @@
                 port = unused.getsockname()[1]
                 address = Address(ip="127.0.0.1", port=port)
                 bench.client = BackendClient(
-                    server=replace(bench.server, address=address), idle_limit=1.0
+                    server=replace(bench.server, address=address), idle_timeout_s=1.0
                 )
                 assert await bench.call(idempotent=False) == not_run(
                     Step.CONNECT, Reason.REFUSED_CONNECTION
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -16,8 +16,8 @@
     CallerRequest,
     CallersApp,
     Handlers,
+    IssuedTicket,
     RunResult,
-    TicketText,
 )
 from lavendergap.transport.web import BODY_TIMEOUT_S
 from tests.nodes import build_settings
@@ -62,8 +62,8 @@
             results=(ShardResult(shard="s00", result=request.body),),
         )
 
-    async def issue(self, request: CallerRequest) -> TicketText:
-        return TicketText(text="t")
+    async def issue(self, request: CallerRequest) -> IssuedTicket:
+        return IssuedTicket(text="t")
 
     async def run(self, request: CallerRequest, ticket: str) -> RunResult:
         return RunResult(request_id=request.request_id, result=b"1")
@@ -80,7 +80,7 @@
                 run=self.run,
                 look_up=self.look_up,
                 is_leaving=lambda: self.is_leaving,
-                get_unsettled=lambda: self.not_ready_reason,
+                get_startup_problem=lambda: self.not_ready_reason,
             )
         )
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -33,7 +33,7 @@
     IDLE_TIMEOUT_S,
     SILENCE_TIMEOUT_S,
     Channel,
-    Loss,
+    LossReason,
 )
 from lavendergap.transport.dialer import CONNECT_TIMEOUT_S, Dialer
 
@@ -57,7 +57,7 @@
         self.lost: list[Channel] = []
         self.answers = True
         self.acceptor = Acceptor(
-            own=accepts_as, handle=self._handle, lose=self.lost.append
+            own=accepts_as, on_frame=self._handle, on_loss=self.lost.append
         )
         self.dialer = Dialer(
             own=make_hello("ptl-a-1"), nursery=nursery, connect=self._connect
@@ -113,7 +113,7 @@
             assert isinstance(channel, Channel)
             pair.is_silent = True
             started = trio.current_time()
-            assert await channel.ask(FETCH, limit=60.0) is Loss.SILENT
+            assert await channel.ask(FETCH, limit=60.0) is LossReason.SILENT
             assert trio.current_time() - started < 2 * SILENCE_TIMEOUT_S
             pair.is_silent = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
@@ -130,7 +130,10 @@
             pair.answers = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
-            assert await channel.ask(FETCH, limit=10 * SILENCE_TIMEOUT_S) is Loss.SILENT
+            assert (
+                await channel.ask(FETCH, limit=10 * SILENCE_TIMEOUT_S)
+                is LossReason.SILENT
+            )
             assert channel.is_open
             nursery.cancel_scope.cancel()
 
@@ -188,7 +191,7 @@
                 await pair.dialer.dial("ptl-b-1", ADDRESS)
             pair.is_silent = False
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
-            assert channel is Loss.SILENT  # The result of the first dial.
+            assert channel is LossReason.SILENT  # The result of the first dial.
             channel = await pair.dialer.dial("ptl-b-1", ADDRESS)
             assert isinstance(channel, Channel)
             nursery.cancel_scope.cancel()
@@ -209,7 +212,7 @@
         # ticket's issuer is one process.
         async with trio.open_nursery() as nursery:
             pair = Pair(nursery=nursery, accepts_as=make_hello("ptl-b-9"))
-            assert await pair.dialer.dial("ptl-b-1", ADDRESS) is Loss.REFUSED
+            assert await pair.dialer.dial("ptl-b-1", ADDRESS) is LossReason.REFUSED
             nursery.cancel_scope.cancel()
 
 
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -113,7 +113,7 @@
             connections=2,
         )
         client = ForwardClient(
-            server=server, idle_limit=10.0, names=NAMES, nursery=nursery
+            server=server, idle_timeout_s=10.0, names=NAMES, nursery=nursery
         )
         bench = Bench(client=client, requests=requests, listening=listening)
         yield bench
@@ -262,7 +262,7 @@
                 connections=2,
             )
             client = ForwardClient(
-                server=closed, idle_limit=10.0, names=NAMES, nursery=nursery
+                server=closed, idle_timeout_s=10.0, names=NAMES, nursery=nursery
             )
             verdict = await client.call(make_call(), attempt=b"", fresh=False)
             assert isinstance(verdict.outcome, NotRun)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -185,7 +185,7 @@
     async def owned(self, nursery, autojump_clock):
         clients: list[FakeClient] = []
 
-        def make_client(server: Server, idle_limit: float) -> FakeClient:
+        def make_client(server: Server, idle_timeout_s: float) -> FakeClient:
             clients.append(FakeClient(server))
             return clients[-1]
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -22,7 +22,7 @@
 from lavendergap.state.outcome import Reason, Step
 from lavendergap.state.settings import Address, Settings
 from lavendergap.state.snapshot import Published
-from lavendergap.transport.channel import Loss
+from lavendergap.transport.channel import LossReason
 from lavendergap.transport.dialer import Dialer
 from lavendergap.transport.platform import (
     DEFAULT_LIMIT_S,
@@ -160,8 +160,8 @@
     async def ask(self, message, *, limit):
         with trio.move_on_after(limit):
             await trio.sleep(self.delay)
-            return self.document or Loss.RESET
-        return Loss.SILENT
+            return self.document or LossReason.RESET
+        return LossReason.SILENT
 
 
 class FakeDialer:
@@ -170,7 +170,7 @@
 
     async def dial(self, host, address):
         await trio.lowlevel.checkpoint()
-        return self.peers.get(host, Loss.REFUSED)
+        return self.peers.get(host, LossReason.REFUSED)
 
 
 class Bench:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -208,7 +208,7 @@
                         raise ValueError("a fault of the program")
                     return await super().call(call, attempt=attempt, fresh=fresh)
 
-            bench.owner._make_client = lambda server, idle_limit: FaultyClient(
-                server=server, idle_limit=idle_limit
+            bench.owner._make_client = lambda server, idle_timeout_s: FaultyClient(
+                server=server, idle_timeout_s=idle_timeout_s
             )
             assert await bench.call_all(10) == 10
--- a/tests/test_rounds.py
+++ b/tests/test_periodic.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from lavendergap.transport.rounds import PeriodicChecks
+from lavendergap.transport.periodic import PeriodicChecks
 
 
 class CheckRecorder:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 
 from lavendergap.state.outcome import Reason, Step
 from lavendergap.state.settings import Address
-from lavendergap.transport import exchange
+from lavendergap.transport import httpclient
 from lavendergap.transport.platform import (
     Conflict,
     Found,
@@ -210,7 +210,7 @@
         ids=["no version", "weak", "negative", "cut short", "too long"],
     )
     async def test_an_invalid_answer_is_unavailable(self, reply, monkeypatch):
-        monkeypatch.setattr(exchange, "MAX_ANSWER_BYTES", 1_000)
+        monkeypatch.setattr(httpclient, "MAX_ANSWER_BYTES", 1_000)
 
         async def handle(_request, _connection):
             return reply
--- a/tests/test_ticketservice.py
+++ b/tests/test_ticketservice.py
@@ -31,11 +31,11 @@
 from lavendergap.state.ticket import Peer, Ticket, parse_ticket
 from lavendergap.transport.callers import (
     CallerRequest,
+    IssuedTicket,
     Pending,
     RunResult,
-    TicketText,
 )
-from lavendergap.transport.channel import Channel, Loss
+from lavendergap.transport.channel import Channel, LossReason
 from lavendergap.transport.dialer import Dialer
 from lavendergap.transport.web import BadRequestError
 
@@ -123,7 +123,7 @@
     async def _open(self, host, address):
         node = self.nodes.get(host)
         if node is None:
-            return Loss.REFUSED
+            return LossReason.REFUSED
         ours, theirs = memory_stream_pair()
         self.pairs.append(({self._own.host, host}, ours, theirs))
         pump_unblocked(self.pairs, self.blocked)
@@ -131,14 +131,14 @@
             (theirs, node.hello, node.peers.handle),
             (ours, self._own, None),
         ):
-            lose = (lambda c, loss: None) if handle else self._drop
-            channel = Channel(stream=stream, own=own, handle=handle, lose=lose)
+            on_loss = (lambda c, loss: None) if handle else self._drop
+            channel = Channel(stream=stream, own=own, on_frame=handle, on_loss=on_loss)
             node.channels.append(channel)
             channel.send(Frame(id=0, message=own))
             self._nursery.start_soon(channel.run)
         with trio.move_on_after(0.5):
-            await channel.greeted.wait()
-        return self._admit(host, channel)
+            await channel.hello_received.wait()
+        return self._check_peer(host, channel)
 
 
 def pump_unblocked(pairs, blocked):
@@ -212,7 +212,7 @@
 
     def kill(self, name):
         for channel in self.nodes.pop(name).channels:
-            channel.close(Loss.RESET)
+            channel.close(LossReason.RESET)
 
     def pause(self, *names):
         self.blocked.update(names)
@@ -234,7 +234,7 @@
 
     async def issue(self, name="a-1"):
         issued = await self.nodes[name].tickets.issue(self.request(1.0))
-        assert isinstance(issued, TicketText)
+        assert isinstance(issued, IssuedTicket)
         return issued.text
 
     async def run(self, ticket, name="a-1", seconds=2.0):
@@ -376,7 +376,7 @@
             await trio.sleep(0.5)
             for channel in hosts.nodes["a-1"].channels:
                 if channel.peer.host == "b-1":
-                    channel.close(Loss.RESET)
+                    channel.close(LossReason.RESET)
 
         hosts.nursery.start_soon(reset)
         assert isinstance(await hosts.run(ticket, "b-1"), RunResult)
@@ -609,4 +609,4 @@
         refused = await tickets.issue(hosts.request(1.0))
         assert is_not_run(refused, Reason.OVERLOADED)
         tickets.replace(replace(settings, control=Control(max_tickets=2)))
-        assert isinstance(await tickets.issue(hosts.request(1.0)), TicketText)
+        assert isinstance(await tickets.issue(hosts.request(1.0)), IssuedTicket)
