--- a/lab/bookers.py
+++ b/lab/bookers.py
@@ -21,7 +21,7 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-class Ending(StrEnum):
+class BookingResult(StrEnum):
     """The result of a booking as its caller sees it."""
 
     ANSWERED = "answered"
@@ -41,10 +41,10 @@
     name: str
     started: float
     ended: float = 0.0
-    ending: Ending = Ending.NO_ANSWER
+    result: BookingResult = BookingResult.NO_ANSWER
     request_ids: list[str] = field(default_factory=list)
-    told_not_run: list[str] = field(default_factory=list)
-    told_answered: list[str] = field(default_factory=list)
+    reported_not_run: list[str] = field(default_factory=list)
+    reported_answered: list[str] = field(default_factory=list)
     unknown_reasons: list[str] = field(default_factory=list)
     unexpected_answers: list[str] = field(default_factory=list)
 
@@ -128,12 +128,12 @@
         for number in range(MAX_TICKETS):
             ticket = await self._take_ticket()
             if ticket is None:
-                booking.ending = Ending.NO_ANSWER
+                booking.result = BookingResult.NO_ANSWER
                 continue
             request_id = f"{booking.name}/{number}"
             booking.request_ids.append(request_id)
-            booking.ending = await self._send_with_ticket(ticket, request_id, booking)
-            if booking.ending is not Ending.NOT_RUN:
+            booking.result = await self._send_with_ticket(ticket, request_id, booking)
+            if booking.result is not BookingResult.NOT_RUN:
                 return
 
     async def _take_ticket(self) -> str | None:
@@ -148,11 +148,11 @@
 
     async def _send_with_ticket(
         self, ticket: str, request_id: str, booking: Booking
-    ) -> Ending:
+    ) -> BookingResult:
         headers = {**JSON_HEADERS, "Ticket": ticket, "Deadline-Ms": str(DEADLINE_MS)}
         headers["Request-Id"] = request_id
         body = msgspec.json.encode({"query": request_id})
-        ending = Ending.NO_ANSWER
+        result = BookingResult.NO_ANSWER
         host = ""
         for _ in range(MAX_TRIES):
             host = self._balancer.choose(exclude=host)
@@ -161,24 +161,24 @@
             )
             match answer:
                 case Answer(status=200):
-                    booking.told_answered.append(request_id)
+                    booking.reported_answered.append(request_id)
                     if answer.json["result"]["query"] != request_id:
                         booking.unexpected_answers.append(
                             f"{request_id}: answer to another request"
                         )
-                    return Ending.ANSWERED
+                    return BookingResult.ANSWERED
                 case Answer(status=503):
-                    booking.told_not_run.append(request_id)
-                    return Ending.NOT_RUN
+                    booking.reported_not_run.append(request_id)
+                    return BookingResult.NOT_RUN
                 case Answer(status=504):
-                    ending = Ending.UNKNOWN
+                    result = BookingResult.UNKNOWN
                     booking.unknown_reasons.append(_describe_refusal(answer.json))
                 case Answer(status=status, body=text):
                     booking.unexpected_answers.append(
                         f"{request_id} {host}: {status} {text!r}"
                     )
             await trio.sleep(RETRY_PAUSE_S)
-        return ending
+        return result
 
 
 def _describe_refusal(refusal: dict[str, str]) -> str:
@@ -207,7 +207,7 @@
                 limit=CALL_LIMIT_S,
             )
             if answer is not None and answer.status == 200:
-                booking.told_answered.append(booking.name)
-                booking.ending = Ending.ANSWERED
+                booking.reported_answered.append(booking.name)
+                booking.result = BookingResult.ANSWERED
                 return
             await trio.sleep(RETRY_PAUSE_S)
--- a/lab/gatewaydemo.py
+++ b/lab/gatewaydemo.py
@@ -59,7 +59,7 @@
 
 async def _lose_a_shard(platform: Platform) -> None:
     console.rule("all servers of one shard fail: the answer reports it")
-    for leaf in platform.leafs:
+    for leaf in platform.leaves:
         if leaf.service == SHARDS[0]:
             leaf.faults.fails = True
     gateway = platform.gateways[0]
@@ -84,7 +84,7 @@
 def _print(gateway: Gateway, answer: Answer) -> None:
     missing = answer.get("lavendergap-missing-parts")
     console.print(
-        f"{gateway.name}: {answer.status}, {len(answer.proofs)} of {len(SHARDS)} "
+        f"{gateway.name}: {answer.status}, {len(answer.part_stamps)} of {len(SHARDS)} "
         f"shards, {missing} missing, {len(answer.body) // 16} greatest records"
     )
 
--- a/lab/gateways.py
+++ b/lab/gateways.py
@@ -14,13 +14,13 @@
 import h11
 import trio
 
-from standins.leafs import Leaf
+from standins.leafservers import Leaf
 from standins.objectstore import ObjectStore
 
 from .processes import find_free_ports
 
 ROOT = Path(__file__).parents[1]
-HOST = "app.example"
+HOST_HEADER = "app.example"
 READY_LIMIT_S = 20.0
 DRAIN_MS = 3_000
 STOP_WITHIN_S = 6
@@ -41,7 +41,7 @@
         return ", ".join(value for key, value in self.headers if key == name)
 
     @property
-    def proofs(self) -> list[str]:
+    def part_stamps(self) -> list[str]:
         """The stamps of the parts that a joined answer lists."""
         text = self.get("lavendergap-part-stamps")
         return [proof.strip() for proof in text.split(",") if proof.strip()]
@@ -136,14 +136,14 @@
     store_port: int
     regions: dict[str, str]
     gateways: list[Gateway] = field(default_factory=list)
-    leafs: list[Leaf] = field(default_factory=list)
+    leaves: list[Leaf] = field(default_factory=list)
     n_asked: int = 0
 
     async def add_leaf(self, service: str, zone: str, **options: Any) -> Leaf:
         """Start a server and register it in the store."""
         leaf = Leaf(service=service, zone=zone, **options)
         await self.nursery.start(leaf.run, self.store)
-        self.leafs.append(leaf)
+        self.leaves.append(leaf)
         return leaf
 
     def add_gateway(self, zone: str) -> Gateway:
@@ -172,7 +172,7 @@
 
     def count_arrivals(self, zone: str) -> int:
         """Count the requests received by the servers of a data centre."""
-        return sum(leaf.arrivals.total() for leaf in self.leafs if leaf.zone == zone)
+        return sum(leaf.arrivals.total() for leaf in self.leaves if leaf.zone == zone)
 
     def write_routes(self, version: int, routes: list[dict[str, Any]]) -> None:
         """Write a route manifest to the store."""
@@ -218,7 +218,7 @@
         """Send one caller's request over a new connection and return its answer."""
         self.n_asked += 1
         headers = [
-            ("Host", HOST),
+            ("Host", HOST_HEADER),
             ("Lavendergap-Attempt-Id", attempt or f"a{self.n_asked}"),
             ("Lavendergap-Deadline-Ms", str(deadline_ms)),
         ]
@@ -291,7 +291,7 @@
 def _make_route(path: str) -> dict[str, Any]:
     return {
         "name": f"r{path}",
-        "host": HOST,
+        "host": HOST_HEADER,
         "path_prefix": path,
         "type": "idempotent",
         "timeout_ms": 1_000,
--- a/lab/once.py
+++ b/lab/once.py
@@ -20,7 +20,7 @@
 from standins.fleet import parse_address
 from standins.relay import Relay
 
-from .bookers import Balancer, Booking, Ending, PlainCaller, TicketCaller, call
+from .bookers import Balancer, Booking, BookingResult, PlainCaller, TicketCaller, call
 from .figures import Value, make_figures, save_figures
 from .oncefaults import FaultSchedule, FaultTarget, FaultWindow, RestartableProcess
 from .processes import (
@@ -71,7 +71,7 @@
         )
 
 
-def judge(bookings: Iterable[Booking], runs: Counter[str]) -> Verdict:
+def compare_with_runs(bookings: Iterable[Booking], runs: Counter[str]) -> Verdict:
     """Compare the answers to callers with the runs of each request.
 
     `run_twice` counts bookings that ran more than once over all their tickets,
@@ -79,13 +79,13 @@
     as "answered" that never ran. `n_unknown` includes bookings without an answer.
     """
     listed = list(bookings)
-    unsure = (Ending.UNKNOWN, Ending.NO_ANSWER)
+    unsure = (BookingResult.UNKNOWN, BookingResult.NO_ANSWER)
     return Verdict(
         n_bookings=len(listed),
         run_twice=sum(sum(runs[i] for i in b.request_ids) > 1 for b in listed),
-        false_not_run=sum(runs[i] > 0 for b in listed for i in b.told_not_run),
-        lost=sum(runs[i] == 0 for b in listed for i in b.told_answered),
-        n_unknown=sum(b.ending in unsure for b in listed),
+        false_not_run=sum(runs[i] > 0 for b in listed for i in b.reported_not_run),
+        lost=sum(runs[i] == 0 for b in listed for i in b.reported_answered),
+        n_unknown=sum(b.result in unsure for b in listed),
     )
 
 
@@ -133,7 +133,7 @@
     """
     bind = find_free_address()
     forwarder = find_free_address()
-    relay = Relay(listen=parse_address(host.peers), to=parse_address(bind))
+    relay = Relay(listen=parse_address(host.peers), upstream=parse_address(bind))
     await nursery.start(relay.run)
     settings = ["--settings", str(deployment.settings)]
     start_entry = partial(
@@ -178,7 +178,7 @@
 
     Faults overlap, so that most bookings count in more than one row.
     """
-    rows: dict[str, Counter[Ending]] = {}
+    rows: dict[str, Counter[BookingResult]] = {}
     for booking in bookings:
         kinds = {
             window.kind.value
@@ -186,16 +186,18 @@
             if window.started <= booking.ended and booking.started <= window.ended
         }
         for name in kinds or {"none"}:
-            rows.setdefault(name, Counter())[booking.ending] += 1
-    print(f"\n{title:24}" + "".join(f"{ending.value:>11}" for ending in Ending))
+            rows.setdefault(name, Counter())[booking.result] += 1
+    print(f"\n{title:24}" + "".join(f"{result.value:>11}" for result in BookingResult))
     for name, counts in sorted(rows.items()):
-        print(f"{name:24}" + "".join(f"{counts[ending]:>11}" for ending in Ending))
+        print(
+            f"{name:24}" + "".join(f"{counts[result]:>11}" for result in BookingResult)
+        )
 
 
 def print_unknown_reasons(bookings: Iterable[Booking]) -> None:
     """Print the last reason of each booking that stayed unknown, with counts."""
     unknown_reasons = Counter(
-        b.unknown_reasons[-1] for b in bookings if b.ending is Ending.UNKNOWN
+        b.unknown_reasons[-1] for b in bookings if b.result is BookingResult.UNKNOWN
     )
     for reason, n_bookings in unknown_reasons.most_common():
         print(f"unknown, {reason}: {n_bookings}")
@@ -281,8 +283,8 @@
     dead = [entry for entry in entries if not entry.is_alive()]
     for entry in dead:
         print(f"EXITED UNEXPECTEDLY {entry.name}\n{entry.read_tail()}")
-    verdict = judge(ours.bookings, runs)
-    print(f"\nbaseline: {judge(naive.bookings, runs)}")
+    verdict = compare_with_runs(ours.bookings, runs)
+    print(f"\nbaseline: {compare_with_runs(naive.bookings, runs)}")
     print(verdict)
     wrong = verdict.run_twice + verdict.false_not_run + verdict.lost
     return not wrong and not unexpected and not dead
@@ -292,7 +294,7 @@
     loads: Sequence[Load], runs: Counter[str], conditions: dict[str, Value]
 ) -> None:
     """Save both verdicts for the documentation."""
-    ours, naive = (judge(load.bookings, runs) for load in loads)
+    ours, naive = (compare_with_runs(load.bookings, runs) for load in loads)
     figures: dict[str, float] = {
         "bookings": ours.n_bookings,
         "run_twice": ours.run_twice,
--- a/lab/oncefaults.py
+++ b/lab/oncefaults.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from standins.relay import Relay, Way
+from standins.relay import Direction, Relay
 
 from .bookers import call
 from .processes import Running
@@ -42,7 +42,7 @@
     FaultKind.CRASH_BEFORE: 1,
     FaultKind.OUTAGE: 1,
 }
-WAYS: tuple[Way, ...] = ("towards", "back", "both")
+DIRECTIONS: tuple[Direction, ...] = ("towards", "back", "both")
 
 
 @dataclass(kw_only=True, slots=True)
@@ -119,7 +119,7 @@
         kind = self._rng.choices(kinds, weights=list(WEIGHTS.values()))[0]
         target = self._rng.choice(self._targets)
         server = self._rng.choice(self._servers)
-        way = self._rng.choice(WAYS)
+        direction = self._rng.choice(DIRECTIONS)
         duration_s = self._rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
         affected = target.name
         match kind:
@@ -132,10 +132,14 @@
         window = FaultWindow(kind=kind, affected=affected, started=trio.current_time())
         self.windows.append(window)
         self._active.add(affected)
-        nursery.start_soon(self._apply, window, target, way, duration_s)
+        nursery.start_soon(self._apply, window, target, direction, duration_s)
 
     async def _apply(
-        self, window: FaultWindow, target: FaultTarget, way: Way, duration_s: float
+        self,
+        window: FaultWindow,
+        target: FaultTarget,
+        direction: Direction,
+        duration_s: float,
     ) -> None:
         processes = (target.entry, target.forwarder)
         match window.kind:
@@ -156,7 +160,7 @@
                 for process in processes:
                     process.running.resume()
             case FaultKind.CUT:
-                target.relay.cut(way)
+                target.relay.cut(direction)
                 await trio.sleep(duration_s)
                 target.relay.restore()
             case FaultKind.CRASH_AFTER:
--- a/lab/serverends.py
+++ b/lab/serverends.py
@@ -39,13 +39,13 @@
 
     name: str
     work_s: float
-    ends_after_s: float
+    crash_delay_s: float
     goal_ms: int
 
 
 CASES = (
-    Case(name="ends at once", work_s=0.012, ends_after_s=0.0, goal_ms=400),
-    Case(name="ends after hedges", work_s=0.004, ends_after_s=0.012, goal_ms=44),
+    Case(name="ends at once", work_s=0.012, crash_delay_s=0.0, goal_ms=400),
+    Case(name="ends after hedges", work_s=0.004, crash_delay_s=0.012, goal_ms=44),
 )
 
 
@@ -65,11 +65,11 @@
             leaf = await platform.add_leaf(
                 f"shard{index}",
                 zone,
-                ends_on=CRASH_PATH,
-                ends_after=case.ends_after_s,
-                away=RESTART_S,
+                crash_path=CRASH_PATH,
+                crash_delay_s=case.crash_delay_s,
+                restart_delay_s=RESTART_S,
             )
-            leaf.faults.work = case.work_s
+            leaf.faults.work_s = case.work_s
     shards = [f"shard{index}" for index in range(N_SHARDS)]
     route = make_search_route(
         "/all/", shards, min_coverage=MIN_COVERAGE, slo_ms=case.goal_ms
@@ -113,7 +113,7 @@
     for at in CRASH_TIMES_S:
         await trio.sleep_until(started_at + at)
         status = await search(platform, rng, CRASH_PATH)
-        n_ended = sum(len(leaf.ended_by) for leaf in platform.leafs)
+        n_ended = sum(len(leaf.crashed_by) for leaf in platform.leaves)
         print(f"crash request at {at:5.2f} s: {status}, {n_ended} servers crashed")
 
 
@@ -132,7 +132,7 @@
                 nursery.start_soon(
                     search_as_callers, platform, rng, index, second, tally
                 )
-        n_ended = sum(len(leaf.ended_by) for leaf in platform.leafs)
+        n_ended = sum(len(leaf.crashed_by) for leaf in platform.leaves)
     for second, n_asked in sorted(tally.n_asked.items()):
         print(f"second {second:2}: {tally.n_answered[second]} of {n_asked} answered")
     share = tally.n_answered.total() / tally.n_asked.total()
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -21,13 +21,13 @@
 import h11
 import trio
 
-from standins.leafs import Leaf, LeafFaults, make_part
-from standins.objectstore import Mode
+from standins.leafservers import Leaf, LeafFaults, make_answer_body
+from standins.objectstore import StoreMode
 
 from .gateways import (
     DRAIN_MS,
     EVACUATE_MS,
-    HOST,
+    HOST_HEADER,
     Answer,
     Gateway,
     Platform,
@@ -122,7 +122,7 @@
     async def add_leaf(self, service: str, zone: str) -> None:
         """Start a server that crashes on the request to `CRASH_PATH`."""
         await self.platform.add_leaf(
-            service, zone, ends_on=CRASH_PATH, away=LEAF_RESTART_S
+            service, zone, crash_path=CRASH_PATH, restart_delay_s=LEAF_RESTART_S
         )
 
     def write_routes(self) -> None:
@@ -194,7 +194,7 @@
         if path == "/book/":
             self.bookings.append(attempt)
         headers = [
-            ("Host", HOST),
+            ("Host", HOST_HEADER),
             ("Lavendergap-Attempt-Id", attempt),
             ("Lavendergap-Deadline-Ms", str(REQUEST_DEADLINE_MS)),
         ]
@@ -219,7 +219,7 @@
             self.check_joined(attempt, answer)
         elif answer.status == HTTPStatus.OK:
             proof = answer.get("lavendergap-server-stamp")
-            is_own = answer.body == make_part("desk", attempt, b"")
+            is_own = answer.body == make_answer_body("desk", attempt, b"")
             if not is_own or not proof.endswith(f".{attempt}"):
                 self.report_violation(
                     f"{path} {attempt}: not the complete answer to this request"
@@ -229,11 +229,11 @@
         """Check a joined answer against the parts that it lists."""
         services = {
             server_id: leaf.service
-            for leaf in self.all_leafs()
-            for server_id in (leaf.server_id, *leaf.past_ids)
+            for leaf in self.all_leaves()
+            for server_id in (leaf.server_id, *leaf.previous_ids)
         }
         services_answered = []
-        for proof in answer.proofs:
+        for proof in answer.part_stamps:
             server, _, of = proof.partition(".")
             if of != attempt or server not in services:
                 self.report_violation(
@@ -251,7 +251,7 @@
             )
         if len(services_answered) < MIN_SHARE * N_SHARDS:
             self.report_violation(f"{attempt}: only {len(services_answered)} parts")
-        parts = [make_part(name, attempt, b"") for name in services_answered]
+        parts = [make_answer_body(name, attempt, b"") for name in services_answered]
         records = sorted(
             (p[at : at + 16] for p in parts for at in range(0, len(p), 16)),
             reverse=True,
@@ -259,9 +259,9 @@
         if answer.body != b"".join(records[:N_RECORDS]):
             self.report_violation(f"{attempt}: not the greatest records of its parts")
 
-    def all_leafs(self) -> list[Leaf]:
+    def all_leaves(self) -> list[Leaf]:
         """Return all servers, including retired ones."""
-        return [*self.platform.leafs, *self.retired]
+        return [*self.platform.leaves, *self.retired]
 
     # Faults.
 
@@ -331,7 +331,7 @@
     async def harm_store(self) -> None:
         store = self.platform.store
         self.mark_disturbed()
-        modes: tuple[Mode, ...] = ("busy", "silent", "lost")
+        modes: tuple[StoreMode, ...] = ("busy", "silent", "lost")
         if self.rng.random() < 0.25:
             store.forget_history()
         elif store.mode == "up":
@@ -364,31 +364,31 @@
     async def harm_leaf(self) -> None:
         # The service of bookings is chosen more often, for its stronger guarantees.
         service = self.rng.choice(["desk", self.rng.choice(self.shards)])
-        leafs = [leaf for leaf in self.platform.leafs if leaf.service == service]
+        leaves = [leaf for leaf in self.platform.leaves if leaf.service == service]
         if self.rng.random() < 0.5:
-            leafs = leafs[:1]
+            leaves = leaves[:1]
         faults = (
-            LeafFaults(work=0.3),
+            LeafFaults(work_s=0.3),
             LeafFaults(refuses=True),
             LeafFaults(fails=True),
-            LeafFaults(loses=True),
+            LeafFaults(resets_connections=True),
             LeafFaults(n_copies=2),
-            LeafFaults(work=30.0),
+            LeafFaults(work_s=30.0),
         )
         fault = self.rng.choice(faults)
-        for leaf in leafs:
+        for leaf in leaves:
             leaf.faults = fault
         await trio.sleep(self.rng.uniform(0.3, 3.0))
-        for leaf in leafs:
+        for leaf in leaves:
             leaf.faults = LeafFaults()
 
     async def replace_leaf(self) -> None:
         """Replace a server, and check that calls to the drained one stop in time."""
-        leaf = self.rng.choice(self.platform.leafs)
+        leaf = self.rng.choice(self.platform.leaves)
         await self.add_leaf(leaf.service, leaf.zone)
-        if leaf not in self.platform.leafs:
+        if leaf not in self.platform.leaves:
             return
-        self.platform.leafs.remove(leaf)
+        self.platform.leaves.remove(leaf)
         self.retired.append(leaf)
         leaf.register(self.platform.store, "draining")
         accepted_at = trio.current_time()
@@ -429,7 +429,7 @@
     def count_arrivals(self, zone: str) -> int:
         """Count the requests to a data centre's servers, including retired ones."""
         return sum(
-            leaf.arrivals.total() for leaf in self.all_leafs() if leaf.zone == zone
+            leaf.arrivals.total() for leaf in self.all_leaves() if leaf.zone == zone
         )
 
     async def change_routes(self) -> None:
@@ -452,16 +452,16 @@
         await self.replace_leaf()
         await self.evacuate()
         for attempt in self.bookings:
-            n_runs = sum(leaf.runs[attempt] for leaf in self.all_leafs())
+            n_runs = sum(leaf.runs[attempt] for leaf in self.all_leaves())
             if n_runs > 1:
                 self.report_violation(f"booking {attempt} ran {n_runs} times")
-        ended_by = {each for leaf in self.all_leafs() for each in leaf.ended_by}
-        if len(ended_by) > MAX_CRASH_REQUESTS + self.n_host_faults:
+        crashed_by = {each for leaf in self.all_leaves() for each in leaf.crashed_by}
+        if len(crashed_by) > MAX_CRASH_REQUESTS + self.n_host_faults:
             self.report_violation(
-                f"{len(ended_by)} of {self.n_crash_requests} requests crashed servers"
+                f"{len(crashed_by)} of {self.n_crash_requests} requests crashed servers"
             )
         for attempt in self.not_run:
-            if any(leaf.runs[attempt] for leaf in self.all_leafs()):
+            if any(leaf.runs[attempt] for leaf in self.all_leaves()):
                 self.report_violation(f"{attempt} was reported as not run, but ran")
 
     async def check_routes(self, gateway: Gateway, started: float) -> None:
--- a/standins/http.py
+++ b/standins/http.py
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """One reply; `n_sent` and `n_copies` make it a faulty one.
+    """One reply; `n_body_bytes_sent` and `n_copies` make it a faulty one.
 
-    With `n_sent`, only so many bytes of the body are sent and the connection is
-    closed, while Content-Length is that of the whole body. With `n_copies`, the reply
-    is sent several times.
+    With `n_body_bytes_sent`, only so many bytes of the body are sent and the connection
+    is closed, while Content-Length is that of the whole body. With `n_copies`, the
+    reply is sent several times.
     """
 
     status: int
     body: bytes = b""
     headers: Headers = ()
-    n_sent: int | None = None
+    n_body_bytes_sent: int | None = None
     n_copies: int = 1
 
 
@@ -136,8 +136,8 @@
         if not is_kept:
             lines.append("Connection: close")
         head = "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
-        if reply.n_sent is not None:
-            await self._stream.send_all(head + reply.body[: reply.n_sent])
+        if reply.n_body_bytes_sent is not None:
+            await self._stream.send_all(head + reply.body[: reply.n_body_bytes_sent])
             return False
         await self._stream.send_all((head + reply.body) * reply.n_copies)
         return is_kept
--- a/standins/leafs.py
+++ b/standins/leafservers.py
@@ -24,15 +24,15 @@
 class LeafFaults:
     """The faults of one server.
 
-    `work` is the service time in seconds. A server that `refuses` runs no request,
-    one that `fails` answers 500, and one that `loses` resets the connection instead
-    of answering. Each answer is sent `n_copies` times.
+    `work_s` is the service time. A server that `refuses` runs no request,
+    one that `fails` answers 500, and one that `resets_connections` resets the
+    connection instead of answering. Each answer is sent `n_copies` times.
     """
 
-    work: float = 0.005
+    work_s: float = 0.005
     refuses: bool = False
     fails: bool = False
-    loses: bool = False
+    resets_connections: bool = False
     n_copies: int = 1
 
 
@@ -44,9 +44,10 @@
     started, and `n_abandoned` the requests whose connection closed while they ran.
     `late_arrivals` counts the requests received after the time `drained_at`.
 
-    A request for the path `ends_on` crashes the server `ends_after` seconds after it
-    was started; the server restarts with another id after `away` seconds. `ended_by`
-    lists the attempts that crashed it, and `past_ids` its previous ids.
+    A request for the path `crash_path` crashes the server `crash_delay_s` seconds after
+    it was started; the server restarts with another id after `restart_delay_s`.
+    `crashed_by` lists the attempts that crashed it, and `previous_ids` its previous
+    ids.
     """
 
     service: str
@@ -61,11 +62,11 @@
     drained_at: float | None = None
     address: str = ""
     n_running: int = 0
-    ends_on: str = ""
-    ends_after: float = 0.0
-    away: float = 1.0
-    ended_by: list[str] = field(default_factory=list)
-    past_ids: list[str] = field(default_factory=list)
+    crash_path: str = ""
+    crash_delay_s: float = 0.0
+    restart_delay_s: float = 1.0
+    crashed_by: list[str] = field(default_factory=list)
+    previous_ids: list[str] = field(default_factory=list)
     serve_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     server: HttpServer = field(init=False)
 
@@ -87,9 +88,9 @@
                     if is_first:
                         task_status.started()
                         is_first = False
-            await trio.sleep(self.away)
+            await trio.sleep(self.restart_delay_s)
             store.remove(SERVERS, self.server_id)
-            self.past_ids.append(self.server_id)
+            self.previous_ids.append(self.server_id)
             self.server_id = make_server_id()
 
     def register(self, store: ObjectStore, state: str) -> None:
@@ -125,20 +126,20 @@
         self, attempt: str, request: Request, connection: Connection
     ) -> Reply | None:
         self.runs[attempt] += 1
-        if request.path == self.ends_on:
-            await trio.sleep(self.ends_after)
-            self.ended_by.append(attempt)
+        if request.path == self.crash_path:
+            await trio.sleep(self.crash_delay_s)
+            self.crashed_by.append(attempt)
             self.server.close_port()
             self.serve_scope.cancel()
         self.n_running += 1
         try:
-            with trio.move_on_after(self.faults.work):
+            with trio.move_on_after(self.faults.work_s):
                 await connection.wait_for_close()
                 self.n_abandoned += 1
                 return None
         finally:
             self.n_running -= 1
-        if self.faults.loses:
+        if self.faults.resets_connections:
             connection.reset()
             return None
         headers = (
@@ -151,12 +152,12 @@
         return Reply(
             status=200,
             headers=headers,
-            body=make_part(self.service, attempt, request.body),
+            body=make_answer_body(self.service, attempt, request.body),
             n_copies=self.faults.n_copies,
         )
 
 
-def make_part(service: str, attempt: str, body: bytes) -> bytes:
+def make_answer_body(service: str, attempt: str, body: bytes) -> bytes:
     """Return the answer to a request, the same from every server of `service`."""
     head = f"{service}:{attempt}".encode()
     records = (
--- a/standins/objectstore.py
+++ b/standins/objectstore.py
@@ -15,7 +15,7 @@
 MAX_EVENTS = 10_000
 MAX_WAIT_MS = 30_000
 
-Mode = Literal["up", "busy", "silent", "lost"]
+StoreMode = Literal["up", "busy", "silent", "lost"]
 
 
 @dataclass(kw_only=True, slots=True)
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self.mode: Mode = "up"
+        self.mode: StoreMode = "up"
         self.n_calls = 0
         self.revision = 1
         self._kinds: dict[str, dict[str, StoredObject]] = {}
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -10,7 +10,7 @@
 from .http import open_listener
 
 MAX_RECEIVE_BYTES = 65_536
-Way = Literal["towards", "back", "both"]
+Direction = Literal["towards", "back", "both"]
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
@@ -39,30 +39,30 @@
     towards: _Flow
     back: _Flow
 
-    def silence(self, way: Way) -> None:
-        self.towards.is_silent |= way in ("towards", "both")
-        self.back.is_silent |= way in ("back", "both")
+    def silence(self, direction: Direction) -> None:
+        self.towards.is_silent |= direction in ("towards", "both")
+        self.back.is_silent |= direction in ("back", "both")
 
 
 class Relay:
-    """Accepts connections at `listen` and relays each to the address `to`.
+    """Accepts connections at `listen` and relays each to the address `upstream`.
 
     During a cut, data in the given direction is dropped on all connections, and their
     ends are not notified. Connections that were open during a cut stay silent after
     it; only new ones work.
     """
 
-    def __init__(self, *, listen: Address, to: Address) -> None:
+    def __init__(self, *, listen: Address, upstream: Address) -> None:
         self.listen = listen
-        self.to = to
-        self._cut: Way | None = None
+        self.upstream = upstream
+        self._cut: Direction | None = None
         self._connections: set[_Connection] = set()
 
-    def cut(self, way: Way = "both") -> None:
-        """Silence open and new connections; `towards` is the direction to `to`."""
-        self._cut = way
+    def cut(self, direction: Direction = "both") -> None:
+        """Silence open and new connections; `towards` is the way to `upstream`."""
+        self._cut = direction
         for connection in self._connections:
-            connection.silence(way)
+            connection.silence(direction)
 
     def restore(self) -> None:
         """End the cut for new connections."""
@@ -78,7 +78,7 @@
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         try:
-            upstream = await trio.open_tcp_stream(self.to.ip, self.to.port)
+            upstream = await trio.open_tcp_stream(self.upstream.ip, self.upstream.port)
         except OSError:
             return
         async with upstream:
--- a/standins/spoiling.py
+++ b/standins/spoiling.py
@@ -18,7 +18,7 @@
         if faults.crossed:
             reply = self._cross(reply, faults, draws)
         if draws.happens(faults.truncated):
-            reply = replace(reply, n_sent=len(reply.body) // 2)
+            reply = replace(reply, n_body_bytes_sent=len(reply.body) // 2)
         if draws.happens(faults.duplicated):
             reply = replace(reply, n_copies=2)
         return reply
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -107,8 +107,8 @@
     async def test_calls_under_way_are_finished(self, platform):
         """Guards against an evacuation that interrupts running calls."""
         [gateway] = await platform.start("ptl-a")
-        for leaf in platform.leafs:
-            leaf.faults.work = 0.6 if leaf.zone == EVACUATED else 0.01
+        for leaf in platform.leaves:
+            leaf.faults.work_s = 0.6 if leaf.zone == EVACUATED else 0.01
         answers = []
 
         async def ask_one(n: int) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -272,7 +272,7 @@
                 WeightedGroup(group="c", weight=0.0),
             )
         )
-        dice = Random(1)
-        drawn = [draw_group(target, dice) for _ in range(4_000)]
+        rng = Random(1)
+        drawn = [draw_group(target, rng) for _ in range(4_000)]
         assert drawn.count("c") == 0
         assert 0.72 < drawn.count("a") / 4_000 < 0.78
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -9,7 +9,7 @@
 import trio
 
 from lab.gateways import (
-    HOST,
+    HOST_HEADER,
     Gateway,
     Platform,
     ask,
@@ -18,7 +18,7 @@
     open_platform,
     read_answer,
 )
-from standins.leafs import make_part
+from standins.leafservers import make_answer_body
 
 SHARDS = [f"shard{n}" for n in range(6)]
 
@@ -57,8 +57,8 @@
             answer = await platform.request(gateway, "/all/x", attempt=attempt)
             assert answer.status == 200
             assert answer.get("lavendergap-missing-parts") == "0"
-            assert len(set(answer.proofs)) == len(SHARDS)
-            parts = [make_part(shard, attempt, b"") for shard in SHARDS]
+            assert len(set(answer.part_stamps)) == len(SHARDS)
+            parts = [make_answer_body(shard, attempt, b"") for shard in SHARDS]
             records = sorted(
                 (part[at : at + 16] for part in parts for at in range(0, 960, 16)),
                 reverse=True,
@@ -67,9 +67,9 @@
             one = await platform.request(
                 gateway, "/one/y?z=%20", attempt="one", body=b"{}"
             )
-            assert one.body == make_part("desk", "one", b"{}")
+            assert one.body == make_answer_body("desk", "one", b"{}")
             assert one.get("lavendergap-server-stamp").endswith(".one")
-        for leaf in platform.leafs:
+        for leaf in platform.leaves:
             assert max(leaf.runs.values(), default=0) <= 3
 
     async def test_what_no_route_names_and_what_is_no_request(self, platform):
@@ -90,7 +90,7 @@
                     while await stream.receive_some(1_000):
                         pass
         assert (await platform.request(gateway, "/one/")).status == 200
-        for leaf in platform.leafs:
+        for leaf in platform.leaves:
             assert all(attempt.startswith("a") for attempt in leaf.arrivals)
 
 
@@ -99,9 +99,9 @@
         # The server books and its connection is reset. Guards against the answer "not
         # run", and against a second attempt at another server.
         [gateway] = await platform.start("ptl-a")
-        desks = [leaf for leaf in platform.leafs if leaf.service == "desk"]
+        desks = [leaf for leaf in platform.leaves if leaf.service == "desk"]
         for leaf in desks:
-            leaf.faults.loses = True
+            leaf.faults.resets_connections = True
         for n in range(5):
             answer = await platform.request(gateway, "/book/", attempt=f"b{n}")
             assert answer.status == 502
@@ -110,7 +110,7 @@
 
     async def test_a_refusal_is_true_and_names_a_time(self, platform):
         [gateway] = await platform.start("ptl-a")
-        desks = [leaf for leaf in platform.leafs if leaf.service == "desk"]
+        desks = [leaf for leaf in platform.leaves if leaf.service == "desk"]
         for leaf in desks:
             leaf.faults.refuses = True
         answer = await platform.request(gateway, "/book/", attempt="refused")
@@ -122,14 +122,14 @@
 class TestLeavingCallers:
     async def test_servers_stop_working_for_a_caller_that_left(self, platform):
         [gateway] = await platform.start("ptl-a")
-        for leaf in platform.leafs:
-            leaf.faults.work = 5.0
+        for leaf in platform.leaves:
+            leaf.faults.work_s = 5.0
 
         async def have_all_begun():
-            return sum(leaf.n_running for leaf in platform.leafs) >= len(SHARDS)
+            return sum(leaf.n_running for leaf in platform.leaves) >= len(SHARDS)
 
         async def have_all_stopped():
-            return all(leaf.n_running == 0 for leaf in platform.leafs)
+            return all(leaf.n_running == 0 for leaf in platform.leaves)
 
         ask = partial(platform.request, gateway, "/all/", deadline_ms=4_000)
         async with trio.open_nursery() as caller:
@@ -137,7 +137,7 @@
             await wait_until(have_all_begun, limit=3.0)
             caller.cancel_scope.cancel()
         await wait_until(have_all_stopped, limit=1.0)
-        assert sum(leaf.n_abandoned for leaf in platform.leafs) >= len(SHARDS)
+        assert sum(leaf.n_abandoned for leaf in platform.leaves) >= len(SHARDS)
 
 
 class TestChanges:
@@ -161,7 +161,7 @@
         [gateway] = await platform.start("ptl-a")
         for _ in range(4):
             await platform.request(gateway, "/one/")
-        leaving = next(leaf for leaf in platform.leafs if leaf.service == "desk")
+        leaving = next(leaf for leaf in platform.leaves if leaf.service == "desk")
         leaving.register(platform.store, "draining")
         leaving.drained_at = trio.current_time() + 1.0
         with trio.move_on_after(2.5):
@@ -193,14 +193,14 @@
             while True:
                 assert (await platform.request(gateway, "/all/")).status == 200
                 await trio.sleep(0.05)
-        for leaf in platform.leafs:
+        for leaf in platform.leaves:
             platform.store.remove("servers", leaf.server_id)
         platform.store.mode = "up"
         with trio.move_on_after(1.0):
             while True:
                 assert (await platform.request(gateway, "/all/")).status == 200
                 await trio.sleep(0.05)
-        for leaf in platform.leafs:
+        for leaf in platform.leaves:
             leaf.register(platform.store, "ready")
         with trio.move_on_after(3.0):
             while True:
@@ -274,8 +274,8 @@
         # A caller repeats requests on one connection while the host stops. All answers
         # are complete until one of them closes the connection.
         [gateway] = await platform.start("ptl-a")
-        for leaf in platform.leafs:
-            leaf.faults.work = 0.05
+        for leaf in platform.leaves:
+            leaf.faults.work_s = 0.05
         stream = await trio.open_tcp_stream("127.0.0.1", gateway.ports[0])
         http = h11.Connection(h11.CLIENT)
         async with stream:
@@ -287,7 +287,7 @@
                     method="GET",
                     target="/all/",
                     headers=[
-                        ("Host", HOST),
+                        ("Host", HOST_HEADER),
                         ("Lavendergap-Attempt-Id", f"s{n_answers}"),
                         ("Lavendergap-Deadline-Ms", "900"),
                     ],
--- a/tests/test_homes_processes.py
+++ b/tests/test_homes_processes.py
@@ -35,8 +35,8 @@
     async def test_no_server_abroad_runs_a_request(self, platform):
         """Guards against nearer replicas, hedges and owners in a forbidden region."""
         gateways = await platform.start(*REGIONS)
-        for leaf in platform.leafs:
-            leaf.faults.work = 0.25 if leaf.zone == "ptl-a" else 0.005
+        for leaf in platform.leaves:
+            leaf.faults.work_s = 0.25 if leaf.zone == "ptl-a" else 0.005
         for gateway in gateways:
             for _ in range(3):
                 found = await platform.request(gateway, "/home/x")
@@ -64,4 +64,4 @@
         [gateway] = await platform.start("ptl-a")
         answer = await platform.request(gateway, "/lost/x", attempt="lost")
         assert answer.status == 503
-        assert all("lost" not in leaf.arrivals for leaf in platform.leafs)
+        assert all("lost" not in leaf.arrivals for leaf in platform.leaves)
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 
-from lab.bookers import Booking, Ending, call
-from lab.once import judge
+from lab.bookers import Booking, BookingResult, call
+from lab.once import compare_with_runs
 from lab.oncefaults import set_faults
 from lab.processes import (
     DeploymentShape,
@@ -231,12 +231,18 @@
             return Booking(name=name, started=0.0, request_ids=[*request_ids], **fields)
 
         bookings = [
-            book("a", "a/0", ending=Ending.ANSWERED, told_answered=["a/0"]),
-            book("b", "b/0", "b/1", told_not_run=["b/0"], ending=Ending.UNKNOWN),
-            book("c", "c/0", ending=Ending.ANSWERED, told_answered=["c/0"]),
-            book("d", "d/0", ending=Ending.NOT_RUN, told_not_run=["d/0"]),
+            book("a", "a/0", result=BookingResult.ANSWERED, reported_answered=["a/0"]),
+            book(
+                "b",
+                "b/0",
+                "b/1",
+                reported_not_run=["b/0"],
+                result=BookingResult.UNKNOWN,
+            ),
+            book("c", "c/0", result=BookingResult.ANSWERED, reported_answered=["c/0"]),
+            book("d", "d/0", result=BookingResult.NOT_RUN, reported_not_run=["d/0"]),
         ]
-        verdict = judge(bookings, Counter({"a/0": 1, "b/0": 1, "b/1": 1}))
+        verdict = compare_with_runs(bookings, Counter({"a/0": 1, "b/0": 1, "b/1": 1}))
         assert str(verdict) == (
             "run_twice=1 false_not_run=1 lost=1 unknown_share=0.2500"
         )
@@ -254,7 +260,7 @@
         serve = partial(trio.serve_tcp, self.echo, 0, host="127.0.0.1")
         [listener] = await nursery.start(serve)
         to = parse_address(f"127.0.0.1:{listener.socket.getsockname()[1]}")
-        relay = Relay(listen=parse_address(find_free_address()), to=to)
+        relay = Relay(listen=parse_address(find_free_address()), upstream=to)
         await nursery.start(relay.run)
 
         async def exchange(stream):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -204,7 +204,12 @@
             Reply(status=200, body=b"{}"),
             Reply(status=200, body=b"{}", headers=(("ETag", 'W/"1"'),)),
             Reply(status=200, body=b"{}", headers=(("ETag", '"-1"'),)),
-            Reply(status=200, body=b"{}" * 50, headers=(("ETag", '"1"'),), n_sent=3),
+            Reply(
+                status=200,
+                body=b"{}" * 50,
+                headers=(("ETag", '"1"'),),
+                n_body_bytes_sent=3,
+            ),
             Reply(status=200, body=b"x" * 2_000, headers=(("ETag", '"1"'),)),
         ],
         ids=["no version", "weak", "negative", "cut short", "too long"],
--- a/tests/test_server_ends_processes.py
+++ b/tests/test_server_ends_processes.py
@@ -29,7 +29,9 @@
         for group in (*SHARDS, "desk"):
             for data_centre in DATA_CENTRES:
                 path = DEADLY if group != "desk" else DEADLY_BOOKING
-                await platform.add_leaf(group, data_centre, ends_on=path, away=DOWN_S)
+                await platform.add_leaf(
+                    group, data_centre, crash_path=path, restart_delay_s=DOWN_S
+                )
         platform.write_routes(
             3,
             [
@@ -79,11 +81,11 @@
 
 def count_crashing_attempts(platform: Platform) -> int:
     """Return how many attempts have crashed servers."""
-    return len({attempt for leaf in platform.leafs for attempt in leaf.ended_by})
+    return len({attempt for leaf in platform.leaves for attempt in leaf.crashed_by})
 
 
 def count_crashes(platform: Platform) -> int:
-    return sum(len(leaf.ended_by) for leaf in platform.leafs)
+    return sum(len(leaf.crashed_by) for leaf in platform.leaves)
 
 
 class TestRequestsThatEndServers:
