--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -216,7 +216,7 @@
             assert bench.client.n_open == 0
             assert await bench.call(fresh=True) == ANSWERED
 
-    async def test_a_straggler_is_not_taken_for_silence(self, clock):
+    async def test_a_slow_answer_is_not_taken_for_silence(self, clock):
         """A slow call on a recently used connection must not be cut off.
 
         It would be retried, and all idle connections of a healthy server closed.
@@ -238,7 +238,7 @@
             await trio.sleep(5.0)
             assert await bench.call() == ANSWERED
 
-    async def test_a_read_is_answered_in_time_all_the_same(self, clock):
+    async def test_a_read_is_retried_and_answered_in_time(self, clock):
         """After a silent connection, a retry over a new one answers the query."""
         async with open_bench() as bench, trio.open_nursery() as nursery:
             owner = make_owner(bench.server, nursery)
@@ -289,7 +289,7 @@
 
 
 class TestAtMostOnce:
-    async def test_only_a_recently_proved_connection_is_reused(self, clock):
+    async def test_only_a_recently_used_connection_is_reused(self, clock):
         """On a stale connection the outcome of such a request would be unknown."""
         async with open_bench() as bench:
             for idle in (0.0, 0.5, 3.0):
@@ -319,7 +319,7 @@
                 )
             assert bench.client.n_open == 0
 
-    async def test_a_request_of_which_no_byte_left_is_not_run(self):
+    async def test_an_unsent_request_is_not_run(self):
         """The HTTP library rejects the headers before anything is sent."""
         async with open_bench() as bench:
             outcome = await bench.call(request_id="r\r\nevil", idempotent=False)
@@ -352,13 +352,13 @@
             b"220 smtp.example ESMTP\r\n",
         ],
     )
-    async def test_a_torn_answer_is_lost(self, reply):
+    async def test_a_truncated_answer_is_lost(self, reply):
         async with open_bench() as bench:
             bench.fake.reply = lambda r: reply
             bench.fake.closes_after_reply = True
             assert await bench.call() == unknown(Reason.LOST_CONNECTION)
 
-    async def test_an_answer_without_end_is_cut(self):
+    async def test_an_endless_answer_is_cut_off(self):
         """An endless answer of a faulty server must not exhaust the memory."""
         async with open_bench() as bench:
             body = b'"' + b"x" * MAX_ANSWER_BYTES + b'"'
@@ -380,7 +380,7 @@
 
 
 class TestCancel:
-    async def test_an_answer_abandoned_half_way_is_never_read_on(self):
+    async def test_an_abandoned_answer_is_not_read_by_the_next_request(self):
         """A hedged call is cancelled while its answer is being received.
 
         The rest of that answer would be read as the start of the next one.
@@ -437,7 +437,7 @@
 
 
 class TestRequestStream:
-    async def test_bytes_that_the_kernel_refused_have_not_left(self):
+    async def test_bytes_refused_by_the_kernel_are_not_counted_as_sent(self):
         """A request of which no byte was sent cannot have run."""
         own, peer = socket.socketpair()
         own.setblocking(False)
--- a/tests/test_backend_protocol.py
+++ b/tests/test_backend_protocol.py
@@ -73,7 +73,7 @@
         assert judge(status, headers) == expected
 
     @pytest.mark.parametrize("status", [500, 503, 409, 421, 204, 302])
-    def test_without_its_word_nothing_is_known(self, status):
+    def test_an_unmarked_refusal_is_unknown(self, status):
         """Guards against repeating a booking that ran if a proxy answered with 503."""
         expected = Unknown(step=Step.RECEIVE, peer="a", reason=Reason.SERVER_ERROR)
         assert judge(status, MATCHING) == expected
--- a/tests/test_callerdelay.py
+++ b/tests/test_callerdelay.py
@@ -60,7 +60,7 @@
             self.take(3_023)
 
 
-class TestSpent:
+class TestTimeSpent:
     def test_a_new_connection_has_cost_its_request_a_trip(self):
         # Guards against answers that miss the goal by the time it took to open the
         # connection.
@@ -103,7 +103,7 @@
         assert host.take(1_211, is_new=True, route="look").spent_ms == 6.0
 
 
-class TestTrip:
+class TestRoundTrip:
     def test_it_is_assumed_until_it_is_measured(self):
         host = Host()
         host.take(3_023, is_new=True)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -213,7 +213,9 @@
         assert body["outcome"] == "not run"
         assert (body["request_id"], body["retry_after_ms"]) == ("r-1", 1500)
 
-    async def test_host_without_settings_in_force_serves_nobody(self, autojump_clock):
+    async def test_host_without_settings_in_force_refuses_requests(
+        self, autojump_clock
+    ):
         # A host that has only its settings file must not serve requests by settings
         # that accepted edits may have replaced.
         daemon = FakeDaemon()
@@ -249,7 +251,7 @@
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
         ],
     )
-    async def test_garbage_leaves_it_serving(self, garbage):
+    async def test_garbage_does_not_stop_the_port(self, garbage):
         # Input that is not HTTP, or too long, must not affect the next caller.
         daemon = FakeDaemon()
         [port] = find_free_ports(1)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -137,7 +137,7 @@
             assert channel.is_open
             nursery.cancel_scope.cancel()
 
-    async def test_own_pause_is_not_taken_for_silence(self, autojump_clock):
+    async def test_stall_of_this_process_is_not_taken_for_silence(self, autojump_clock):
         # After a stall of this process, timers have expired and data of peers is still
         # unread. Closing the channels would lose all requests on them.
         async with trio.open_nursery() as nursery:
@@ -152,7 +152,7 @@
             assert channel.is_open
             nursery.cancel_scope.cancel()
 
-    async def test_silence_is_found_though_each_who_asks_gives_up_early(
+    async def test_silence_is_detected_although_each_request_times_out_earlier(
         self, autojump_clock
     ):
         # If each request restarted the silence timeout, a silent channel on which all
@@ -167,7 +167,9 @@
             assert not channel.is_open
             nursery.cancel_scope.cancel()
 
-    async def test_all_share_one_dial_of_a_silent_host(self, autojump_clock):
+    async def test_concurrent_requests_share_one_dial_of_a_silent_host(
+        self, autojump_clock
+    ):
         # If ten queries dialled a silent host in turn, the last would wait for ten
         # timeouts.
         async with trio.open_nursery() as nursery:
@@ -207,7 +209,9 @@
             assert len(pair.lost) == 1
             nursery.cancel_scope.cancel()
 
-    async def test_address_that_passed_to_another_host_is_refused(self, autojump_clock):
+    async def test_address_that_now_belongs_to_another_host_is_refused(
+        self, autojump_clock
+    ):
         # A request for one host must not be served by another that has its address: a
         # ticket's issuer is one process.
         async with trio.open_nursery() as nursery:
@@ -242,7 +246,7 @@
             "nothing",
         ],
     )
-    async def test_what_is_no_peer_is_closed_and_does_nothing(
+    async def test_connection_that_is_not_from_a_peer_is_closed(
         self, sent, autojump_clock
     ):
         async with trio.open_nursery() as nursery:
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -137,8 +137,8 @@
     return ActiveConfig(adapter=adapter, apply=lambda: None)
 
 
-class TestInForce:
-    def test_an_unknown_entry_is_no_server_and_the_others_are(self):
+class TestActiveConfig:
+    def test_an_invalid_entry_is_skipped(self):
         config = make_active_config()
         config.use_servers({"i-1": encode(), "i-2": encode(state="odd")}, 1)
         assert [server.server_id for server in config.servers] == ["i-1"]
@@ -202,7 +202,7 @@
 class TestPage:
     @pytest.mark.parametrize("spec", GARBAGE, ids=lambda spec: repr(spec[:9]))
     @pytest.mark.parametrize("place", [0, 1, 2])
-    def test_bytes_that_cannot_be_read_hide_no_other_object(self, spec, place):
+    def test_an_unreadable_object_hides_no_other(self, spec, place):
         items = [
             encode_object("a", encode()),
             encode_object("b", encode()),
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -61,7 +61,7 @@
         await request_for(platform, gateways, 1.0)
         assert platform.count_arrivals(EVACUATED) == before
 
-    async def test_work_returns_once_the_evacuation_is_taken_back(self, platform):
+    async def test_the_data_centre_is_used_again_after_the_evacuation(self, platform):
         """Guards against a data centre that is never used again."""
         gateways = await platform.start("ptl-a", "ptl-b")
         platform.evacuate(EVACUATED)
@@ -92,7 +92,7 @@
         await request_for(platform, gateways, 0.5)
         assert platform.count_arrivals(EVACUATED) == 0
 
-    async def test_it_holds_while_the_store_is_away(self, platform):
+    async def test_it_continues_during_an_outage_of_the_store(self, platform):
         """Guards against an outage of the store that ends an evacuation."""
         gateways = await platform.start("ptl-a", "ptl-b")
         platform.evacuate(EVACUATED)
@@ -121,7 +121,7 @@
             platform.evacuate(EVACUATED)
         assert [answer.status for answer in answers] == [200] * 4
 
-    async def test_entries_that_make_no_sense_evacuate_nothing(self, platform):
+    async def test_invalid_entries_evacuate_nothing(self, platform):
         """Guards against an invalid entry that takes every server out of use."""
         platform.store.put("evacuations", "ptl-z", {})
         platform.store.put("evacuations", "ptl-b", "ptl-b")
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -93,7 +93,7 @@
 
 
 class TestLapses:
-    def test_entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back(self):
+    def test_entries_that_lapsed_in_an_outage_are_kept_for_the_grace_period(self):
         # All entries lapse in an outage and vanish when the store returns; live servers
         # register again a second later. No server may be missing meanwhile.
         copy = FeedCopy(lapse_grace_s=2.0)
@@ -257,7 +257,9 @@
             assert reported[-1] == {"a": b"2"}
             nursery.cancel_scope.cancel()
 
-    async def test_without_news_a_host_asks_the_store_and_tells(self, autojump_clock):
+    async def test_without_updates_a_host_asks_the_store_and_announces(
+        self, autojump_clock
+    ):
         # Both holders are gone or refused by the store while a server begins to leave;
         # the other hosts have to act on it within 3 s.
         store = FakeStore(make_listing(1, a="1"), change(2, a="leaving"))
@@ -271,7 +273,7 @@
             assert [c.name for c in peers.announced[-1].changes] == ["a"]
             nursery.cancel_scope.cancel()
 
-    async def test_one_of_those_that_have_just_started_watches(self, autojump_clock):
+    async def test_one_starting_host_of_a_data_centre_watches(self, autojump_clock):
         # All hosts restart with the store, without watch holders yet. One of each data
         # centre watches and announces the servers that register again.
         moving = [change(2, b="2"), change(3, c="3"), *[change(3)] * 9]
@@ -523,7 +525,7 @@
         assert peers.fetches == ["near"]
 
 
-class TestHostsThatReadAtOtherRevisions:
+class TestHostsAtDifferentRevisions:
     """Guards against needless calls to the store by hosts with equal copies.
 
     Hosts that start together read the same servers at different revisions.
@@ -571,7 +573,7 @@
             assert reported == [{"a": b"new"}]
             nursery.cancel_scope.cancel()
 
-    async def test_a_store_that_tells_nothing_is_not_taken_at_its_word(
+    async def test_an_empty_answer_of_the_store_does_not_override_an_update(
         self, autojump_clock
     ):
         # Just before the store drops its history, its watches return no change though a
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -161,7 +161,7 @@
 
 
 class TestBytesThatBelongToNoRequest:
-    async def test_a_second_answer_is_never_the_next_request_s(self):
+    async def test_a_duplicate_answer_is_not_used_for_the_next_request(self):
         # If a server sends its answer twice, the copy must not be read as the answer to
         # another caller's request.
         async with open_bench(answer() * 2, answer(b"r2", b"own")) as bench:
@@ -171,7 +171,7 @@
             assert verdict.outcome.body == b"own"
             assert bench.n_connections == 2
 
-    async def test_a_late_answer_to_another_request_is_not_believed(self):
+    async def test_a_late_answer_to_another_request_is_rejected(self):
         async with open_bench(answer(b"r0"), answer(b"r2", b"own")) as bench:
             verdict = await bench.call()
             assert isinstance(verdict.outcome, Unknown)
@@ -235,7 +235,7 @@
             assert isinstance(outcome, Unknown)
             assert outcome.reason is Reason.LOST_CONNECTION
 
-    async def test_a_server_that_ended_is_told_from_a_lost_connection(self):
+    async def test_a_server_that_ended_is_distinguished_from_a_lost_connection(self):
         # A server that accepts no new connection has ended, possibly because of the
         # request; one that only closed the connection has not.
         async with open_bench(answer(), b"end") as bench:
@@ -308,8 +308,8 @@
             nursery.cancel_scope.cancel()
 
 
-class TestTimeThatRunsOut:
-    async def test_while_a_connection_opens(self, monkeypatch, autojump_clock):
+class TestDeadlineWhileConnecting:
+    async def test_deadline_passes_while_connecting(self, monkeypatch, autojump_clock):
         # A deadline that passes while connecting leaves a negative time, which must not
         # end the process.
         async with open_bench(answer(b"r2")) as bench:
@@ -327,7 +327,7 @@
             assert outcome.reason is Reason.DEADLINE
             assert bench.requests == []
 
-    async def test_before_the_connection_is_begun(self):
+    async def test_deadline_passes_before_connecting(self):
         # On a busy event loop the deadline may pass before the connecting task runs. A
         # negative timeout must not end the process.
         async with open_bench(answer()) as bench:
@@ -365,7 +365,7 @@
         self.n_steps += "ForwardClient" in task.name
 
 
-class TestOneTaskAConnection:
+class TestOneTaskPerConnection:
     async def test_a_close_is_detected_before_the_next_request(self):
         # A server closes idle connections. If that were detected only by the next
         # request, this request would be lost.
@@ -442,7 +442,7 @@
             assert bench.client.n_open == 0
             assert bench.requests == []
 
-    async def test_one_that_is_cancelled_as_its_connection_is_open(self, monkeypatch):
+    async def test_an_attempt_that_is_cancelled_once_connected(self, monkeypatch):
         # The caller disconnects at the moment the connection opens. Nothing is sent,
         # and the next request uses the connection.
         connect = forward._connect
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -214,9 +214,7 @@
             assert result.coverage.missing == ()
         assert len(forwarding.calls) == 3 * N_GROUPS
 
-    async def test_an_owner_that_knows_no_routes_yet_is_passed_by(
-        self, forwarding, autojump_clock
-    ):
+    async def test_an_owner_without_routes_is_skipped(self, forwarding, autojump_clock):
         # A host that has just started refuses its groups until it has read the routes.
         # Other owners must be asked, or searches would fail at each start of a host.
         settings = forwarding.cluster.settings
@@ -227,7 +225,7 @@
         assert result.coverage.missing == ()
         assert len(forwarding.calls) == N_GROUPS
 
-    async def test_a_straggler_is_left_out_at_the_goal_and_named(
+    async def test_a_straggler_is_reported_missing_at_the_goal(
         self, forwarding, autojump_clock
     ):
         # Both servers of a shard hang. The answer comes by the goal, with the records
@@ -273,7 +271,7 @@
         assert isinstance(result, Unknown)
         assert trio.current_time() - started < 0.05
 
-    async def test_it_is_not_refused_while_servers_are_at_work_on_it(
+    async def test_a_query_that_servers_still_run_is_not_refused(
         self, forwarding, autojump_clock
     ):
         # Two shards are refused, which rules out `min_share`, while the servers of the
@@ -323,7 +321,7 @@
             assert not node.owner.is_busy
 
 
-class TestServersThatEnd:
+class TestServersThatCrash:
     async def test_a_search_crashes_at_most_one_server_of_each_group(
         self, forwarding, autojump_clock
     ):
@@ -335,9 +333,7 @@
         assert sorted(called) == sorted(forwarding.groups)
         assert isinstance(await forwarding.ask_all(), MergedRecords)
 
-    async def test_hedges_take_no_second_server_of_a_group(
-        self, forwarding, autojump_clock
-    ):
+    async def test_a_crashing_search_is_not_hedged(self, forwarding, autojump_clock):
         # Servers take longer to crash than it takes to hedge. A hedge must wait until
         # another call of the search is answered, or both servers would crash.
         for n in range(40):
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -72,7 +72,7 @@
         for leaf in platform.leaves:
             assert max(leaf.runs.values(), default=0) <= 3
 
-    async def test_what_no_route_names_and_what_is_no_request(self, platform):
+    async def test_unknown_routes_and_invalid_requests(self, platform):
         [gateway] = await platform.start("ptl-a")
         assert (await platform.request(gateway, "/none/")).status == 404
         assert (
@@ -108,7 +108,7 @@
         for n in range(5):
             assert sum(leaf.runs[f"b{n}"] for leaf in desks) == 1
 
-    async def test_a_refusal_is_true_and_names_a_time(self, platform):
+    async def test_a_refused_booking_has_not_run_and_has_a_retry_after(self, platform):
         [gateway] = await platform.start("ptl-a")
         desks = [leaf for leaf in platform.leaves if leaf.service == "desk"]
         for leaf in desks:
@@ -120,7 +120,7 @@
 
 
 class TestLeavingCallers:
-    async def test_servers_stop_working_for_a_caller_that_left(self, platform):
+    async def test_calls_are_cancelled_when_the_caller_disconnects(self, platform):
         [gateway] = await platform.start("ptl-a")
         for leaf in platform.leaves:
             leaf.faults.work_s = 5.0
@@ -141,7 +141,7 @@
 
 
 class TestChanges:
-    async def test_new_routes_are_in_force_soon_and_stay(self, platform):
+    async def test_new_routes_become_active_and_are_not_reverted(self, platform):
         [gateway] = await platform.start("ptl-a")
 
         async def is_found() -> bool:
@@ -169,7 +169,7 @@
                 assert (await platform.request(gateway, "/one/")).status == 200
         assert leaving.late_arrivals == 0
 
-    async def test_a_store_that_forgets_its_history_hides_nothing(self, platform):
+    async def test_changes_survive_a_lost_history_of_the_store(self, platform):
         [gateway] = await platform.start("ptl-a")
         platform.store.forget_history()
         platform.write_routes(8, [make_one_route("/new/", "desk")])
@@ -184,7 +184,9 @@
 
 class TestOutages:
     @pytest.mark.parametrize("mode", ["busy", "silent"])
-    async def test_callers_are_served_while_the_store_is_away(self, platform, mode):
+    async def test_callers_are_served_during_an_outage_of_the_store(
+        self, platform, mode
+    ):
         # All servers' entries lapse in an outage of the store and are registered again
         # a second after it. Guards against failed requests during or after the outage.
         [gateway] = await platform.start("ptl-a")
@@ -207,7 +209,7 @@
                 assert (await platform.request(gateway, "/all/")).status == 200
                 await trio.sleep(0.05)
 
-    async def test_without_routes_it_is_not_ready_and_says_not_run(self, tmp_path):
+    async def test_a_host_without_routes_is_not_ready_and_refuses(self, tmp_path):
         async with open_platform(tmp_path) as platform:
             gateway = platform.add_gateway("ptl-a")
             await wait_until(lambda: _listens(platform, gateway), limit=10.0)
@@ -270,7 +272,7 @@
 
 
 class TestPlannedStop:
-    async def test_it_cuts_nobody_and_ends_in_time(self, platform):
+    async def test_it_interrupts_no_request_and_ends_in_time(self, platform):
         # A caller repeats requests on one connection while the host stops. All answers
         # are complete until one of them closes the connection.
         [gateway] = await platform.start("ptl-a")
@@ -315,7 +317,7 @@
 
 
 class TestSettingsFile:
-    async def test_a_damaged_file_is_refused_and_the_old_one_stays(self, platform):
+    async def test_an_invalid_file_is_refused_and_the_old_settings_stay(self, platform):
         [gateway] = await platform.start("ptl-a")
         gateway.settings_path.write_text('{"name": 3}')
         gateway.send(signal.SIGHUP)
@@ -338,7 +340,7 @@
         await wait_until(is_read)
         assert (await platform.request(gateway, "/all/")).status == 200
 
-    async def test_a_damaged_file_at_the_start_is_told(self, tmp_path):
+    async def test_an_invalid_file_at_the_start_is_reported(self, tmp_path):
         async with open_platform(tmp_path) as platform:
             gateway = platform.add_gateway("ptl-a")
             gateway.kill()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -156,7 +156,7 @@
     def test_the_reason_of_a_refusal(self, data, reason):
         assert CODEC.decode(data) == Refused(reason=reason)
 
-    def test_another_deployment_is_not_heard(self):
+    def test_datagrams_of_another_deployment_are_refused(self):
         # Guards against merging the tables of two fleets after an address was
         # reassigned, which would send queries to hosts that serve another library.
         message = Table(source=build_member(1), members=())
@@ -289,7 +289,7 @@
         first_line = caplog.records[0]
         assert "is live (was unknown), reported by ptl-a-" in first_line.getMessage()
 
-    async def test_the_timer_rests_until_something_is_due(self, monkeypatch):
+    async def test_the_timer_loop_sleeps_until_its_next_deadline(self, monkeypatch):
         # Guards against a timer loop that wakes itself and keeps a core of an idle host
         # busy, which delays queries.
         n_advances = 0
--- a/tests/test_greatest.py
+++ b/tests/test_greatest.py
@@ -110,7 +110,7 @@
         assert len(repeated) == cluster.count_owned(lost)
         assert {call.max_attempts for call in repeated} == {1}
 
-    async def test_what_it_may_have_hedged_is_not_asked_elsewhere(self, cluster):
+    async def test_calls_that_may_be_hedged_are_not_sent_elsewhere(self, cluster):
         # A silent owner may have sent each call to both servers that the route allows.
         # Sending it elsewhere would exceed the route's limit.
         node, silent = cluster.nodes[0], get_main_owner(cluster)
@@ -124,7 +124,7 @@
         assert isinstance(await ask(cluster, node), MergedRecords)
 
     @pytest.mark.parametrize("busy_for", [0.02, 0.04, 0.12])
-    async def test_a_busy_owner_is_not_lost(self, cluster, busy_for):
+    async def test_a_busy_owner_is_not_given_up(self, cluster, busy_for):
         # A busy owner answers no ping for longer than the goal is away. If it were
         # given up, its calls would be repeated and it would get no new work.
         node, busy = cluster.nodes[0], get_main_owner(cluster)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -36,7 +36,7 @@
 class TestKinds:
     """Lookups of 3 ms next to searches of 10 ms, in groups with few calls."""
 
-    def test_a_quick_look_is_hedged_by_the_time_of_quick_looks(self):
+    def test_a_lookup_is_hedged_by_the_latency_of_lookups(self):
         # Guards against comparing a lookup with searches, so that its hedge comes too
         # late for its goal.
         kinds = KindLatencies()
@@ -48,7 +48,7 @@
         owner.move(0.012)
         assert owner.started[-1].cause == "hedge"
 
-    def test_a_search_is_not_hedged_for_taking_longer_than_quick_looks(self):
+    def test_a_search_is_not_hedged_for_taking_longer_than_lookups(self):
         kinds = KindLatencies()
         for _ in range(30):
             kinds.get("quick", quantile=0.9).add(0.003)
@@ -92,7 +92,7 @@
         owner.move(0.030)
         assert owner.started[-1].cause == "hedge"
 
-    def test_a_near_replica_that_had_searches_is_as_fast_as_one_that_had_looks(self):
+    def test_a_replica_with_searches_counts_as_fast_as_one_with_lookups(self):
         # Guards against comparing latencies of different kinds in seconds, which would
         # send calls to another data centre.
         group = Group(
@@ -303,7 +303,7 @@
         n_hedges = sum(s.cause == "hedge" for s in owner.started)
         assert 0 < n_hedges <= 3 + 0.01 * 456
 
-    def test_cut_stragglers_stay_in_the_quantile(self):
+    def test_cancelled_stragglers_stay_in_the_quantile(self):
         # Guards against dropping cancelled attempts from the latencies, which would
         # cause ever more hedges.
         owner = make_owner("ab", hedge_budget=1.0, hedge_after_quantile=0.4)
@@ -322,14 +322,14 @@
         assert (owner.scheduler._group_latencies.delay or 0.0) > 0.010
 
 
-class TestShareOfTheAllowance:
+class TestChangingHedgeBudget:
     """An owner whose share of a group's hedge budget changes.
 
     Until the route is known the owner assumes that all hosts call the group, and that
     its share is small. After that the share is that of one of a few owners.
     """
 
-    def test_a_part_that_grows_is_spent(self):
+    def test_a_larger_share_is_spent(self):
         """Guards against an owner that keeps the small share it started with."""
         owner = make_owner(extra=ExtraCalls(hedge_burst=1.0, hedges_per_second=0.08))
         owner.warm_up()
@@ -352,13 +352,13 @@
         hedges = [start for start in owner.started if start.cause == "hedge"]
         assert len(hedges) >= 10
 
-    def test_a_part_that_shrinks_is_not_spent_twice(self):
+    def test_a_smaller_share_drops_tokens(self):
         """Guards against an owner that keeps tokens beyond its smaller share."""
         budget = Budget(share=0.1, burst=16.0, per_second=1.0)
         budget.replace(share=0.1, burst=2.0, per_second=0.1)
         assert [budget.try_spend(now=0.0) for _ in range(3)] == [True, True, False]
 
-    def test_a_part_that_grows_and_shrinks_by_turns_adds_up_to_the_largest(self):
+    def test_a_changing_share_adds_up_to_its_largest(self):
         """Guards against new tokens each time a data centre is lost and back."""
         budget = Budget(share=0.1, burst=2.0, per_second=0.0)
         n_spent = 0
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -41,7 +41,7 @@
     return next(r for r in owner.scheduler._replicas if r.server.name == name)
 
 
-class TestWhatWasLearned:
+class TestStateOfPreviousProcess:
     def test_an_ejected_server_is_used_again(self):
         # A failing server restarts while it is ejected. Were its new process ejected,
         # too, the group would lack its slots.
@@ -70,7 +70,7 @@
         owner.submit()
         assert len(owner.started) == 2
 
-    def test_slots_of_the_process_before_are_free(self):
+    def test_slots_of_the_previous_process_are_free(self):
         # Two calls hang at a process that died unnoticed. They must not occupy slots
         # of the next one, which has one in slow start.
         owner = make_owner("a")
@@ -139,7 +139,7 @@
 
 
 class TestAtMostOnce:
-    def test_not_run_by_the_next_process_does_not_cover_the_one_before(self):
+    def test_a_restart_does_not_prove_that_a_call_did_not_run(self):
         # A server dies with a booking and restarts. That the new process did not run
         # it proves nothing about the old one, so it must not be sent again.
         owner = make_owner("ab")
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -36,7 +36,7 @@
         assert join.coverage().share == 1.0
         assert join.coverage().missing == ()
 
-    def test_a_second_or_a_strange_answer_is_counted_and_dropped(self):
+    def test_a_repeated_or_unexpected_answer_is_counted_and_dropped(self):
         # Guards against coverage that counts a shard twice, when a lost owner's answer
         # arrives after the shard was asked again elsewhere.
         join = make_join()
@@ -45,7 +45,7 @@
         assert join.coverage().n_answered == 1
         assert join.coverage().share == 0.25
 
-    def test_an_answer_after_the_end_does_not_change_what_was_said(self):
+    def test_a_late_answer_does_not_change_the_coverage(self):
         join = make_join()
         answer(join, "s0", "s1", "s2")
         assert join.give_up() == ["s3"]
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -230,7 +230,7 @@
 
 
 class TestNeverReverts:
-    async def test_stale_reads_and_lagging_watches(self, autojump_clock, bench):
+    async def test_stale_reads_and_watches_revert_nothing(self, autojump_clock, bench):
         # Version 7 came from a peer, while the platform's replica still returns 6.
         # Guards against serving with settings that the operator has replaced.
         bench.offer(SECOND, 7)
@@ -244,7 +244,9 @@
         # A watch that returns at once without a change is not repeated in a busy loop.
         assert bench.platform.n_calls < 4 * 600
 
-    async def test_an_older_answer_of_a_peer(self, autojump_clock, bench):
+    async def test_an_older_document_of_a_peer_reverts_nothing(
+        self, autojump_clock, bench
+    ):
         bench.platform.put(KEY, 7, make_value(7))
         bench.run()
         await trio.sleep(1.0)
@@ -252,7 +254,9 @@
         await trio.sleep(5.0)
         assert bench.versions == [7]
 
-    async def test_restart_with_a_platform_that_lags(self, autojump_clock, bench):
+    async def test_a_restarted_host_waits_for_an_advertised_version(
+        self, autojump_clock, bench
+    ):
         # The platform returns version 5 while a peer advertises 7. Ready with 5, the
         # host would serve with settings that are replaced on all other hosts.
         bench.platform.put(KEY, 5, make_value(5))
@@ -305,7 +309,7 @@
         assert bench.keeper.is_ready
         assert bench.versions == [7]
 
-    async def test_just_after_acceptance(self, autojump_clock, bench):
+    async def test_an_outage_just_after_an_accepted_edit(self, autojump_clock, bench):
         # The platform accepts an edit, answers the watches and goes down before any
         # other call.
         bench.run()
@@ -375,7 +379,7 @@
         assert bench.versions == [7, 8]
         assert bench.keeper.describe().problem is None
 
-    async def test_garbled_at_the_platform_and_good_at_a_peer(
+    async def test_a_peer_has_a_readable_copy_of_an_unreadable_object(
         self, autojump_clock, bench
     ):
         bench.platform.put(KEY, 7, make_value(7))
@@ -406,7 +410,7 @@
         await trio.sleep(2.0)
         assert [each.object_version for each in bench.used_index] == [6, 9]
 
-    async def test_a_garbled_index_keeps_no_host_from_starting(
+    async def test_an_unreadable_index_does_not_delay_readiness(
         self, autojump_clock, bench
     ):
         bench.platform.put(INDEX, 6, b"{")
@@ -437,7 +441,9 @@
 
 
 class TestWatchHolder:
-    async def test_the_next_takes_over_when_one_dies(self, autojump_clock, nursery):
+    async def test_the_next_host_takes_over_from_a_dead_holder(
+        self, autojump_clock, nursery
+    ):
         # The watch holder dies. Until another host takes over, no host sees an edit.
         bench = Bench(nursery)
         others = [make_member(name) for name in (SECOND, THIRD)]
@@ -464,9 +470,7 @@
         await trio.sleep(EDIT_LIMIT_S - 1.0)
         assert bench.versions == [7]
 
-    async def test_one_that_is_no_holder_any_more_stops_watching(
-        self, autojump_clock, bench
-    ):
+    async def test_a_former_holder_stops_watching(self, autojump_clock, bench):
         bench.run()
         await trio.sleep(1.0)
         bench.change_members(*[make_member(name) for name in (SECOND, THIRD)])
@@ -476,7 +480,9 @@
         # Its periodic read may take two calls in that time; watches would take four.
         assert bench.platform.n_calls <= n_before + 2
 
-    async def test_holders_cut_off_from_the_platform(self, autojump_clock, nursery):
+    async def test_other_hosts_read_edits_while_the_holders_are_partitioned(
+        self, autojump_clock, nursery
+    ):
         # Both holders are partitioned from the platform but remain holders, so that
         # only the other hosts' periodic reads find an edit.
         bench = Bench(nursery)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -157,7 +157,7 @@
     A blocking write(2) would stop the event loop and every query on the host.
     """
 
-    def test_writing_never_waits_and_the_gap_is_told(self, pipe):
+    def test_writing_never_blocks_and_a_gap_is_logged(self, pipe):
         # With blocking writes, this test would hang in its first loop.
         handler = configure(pipe)
         handler.writer.max_pending = 100_000
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -125,7 +125,7 @@
         assert fleet.run_until(lambda: len(newcomer.live()) == 121, 3.0)
         assert newcomer.joined
 
-    def test_all_hear_of_a_newcomer_within_seconds_of_a_mass_start(self):
+    def test_all_hosts_know_a_new_host_within_seconds_of_a_mass_start(self):
         # Guards against new hosts that gossip their whole first table, behind which the
         # records of hosts that join later would wait.
         fleet = build_fleet(name_hosts(200), seed=200)
@@ -142,7 +142,7 @@
         assert first.joined
         assert first.live() == {FIRST}
 
-    def test_a_host_that_is_greeted_first_is_ready_soon(self):
+    def test_a_host_that_is_pinged_first_is_ready_soon(self):
         # Guards against a host that stays unready because others ping it first, so that
         # it does not request a table by joining.
         fleet = Fleet(seed=3)
@@ -172,7 +172,7 @@
         assert fleet.run_until(fleet.agree, 20.0)
         assert all_record(fleet, THIRD, MemberState.DEAD)
 
-    def test_a_way_cut_in_one_direction_kills_nobody(self):
+    def test_a_path_cut_in_one_direction_makes_no_member_dead(self):
         # Guards against a suspicion over one cut path: without indirect probes SECOND
         # would lose its work and get it back repeatedly.
         fleet = build_fleet(HOSTS, seed=6)
@@ -206,7 +206,7 @@
 
 
 class TestRefutation:
-    def test_a_process_that_wakes_is_taken_back(self):
+    def test_a_process_that_resumes_is_live_again(self):
         # Guards against a live process that stays dead for the others: it has to
         # refute, since it has no other update to send.
         fleet = build_fleet(HOSTS, seed=8)
@@ -217,7 +217,7 @@
         assert fleet.run_until(fleet.agree, 15.0)
         assert fleet.nodes[THIRD].membership.own.refutations > 0
 
-    def test_a_process_that_wakes_buries_nobody(self):
+    def test_a_process_that_resumes_declares_nobody_dead(self):
         # Guards against expired timers that declare live members dead after a pause.
         fleet = build_fleet(HOSTS, seed=9)
         fleet.cut.add((SECOND, FIRST))  # A probe of THIRD's waits when it stops.
@@ -236,7 +236,7 @@
             }
             assert states <= {MemberState.LIVE}
 
-    def test_wakes_in_a_fleet_of_strangers(self):
+    def test_a_process_that_resumes_among_unknown_hosts_joins_them(self):
         # All members that the paused host knew are replaced meanwhile. It ignores older
         # gossip and gets no answers; only unknown hosts ping it.
         fleet = build_fleet(HOSTS[:3], seed=19)
@@ -249,7 +249,7 @@
         fleet.resume(THIRD)
         assert fleet.run_until(fleet.agree, 15.0)
 
-    def test_a_pause_takes_back_nothing_that_was_known(self):
+    def test_a_pause_reverts_no_known_state(self):
         # Guards against work for a leaving host: only FIRST received that SECOND
         # leaves, is paused, and then receives an older record of SECOND.
         fleet = build_fleet([FIRST, THIRD], seed=20)
@@ -293,7 +293,7 @@
         fleet.run(30.0)
         assert fleet.agree()
 
-    def test_a_late_dead_notice_kills_no_successor(self):
+    def test_a_late_dead_record_does_not_affect_the_successor(self):
         # Guards against a late record of the old process's death that would stop the
         # work of its successor.
         membership = build_membership(FIRST)
@@ -303,7 +303,7 @@
         assert get_state(membership, SECOND) is MemberState.LIVE
         assert SECOND in membership.live()
 
-    def test_what_a_replaced_process_says_is_ignored(self):
+    def test_messages_of_a_replaced_process_are_ignored(self):
         # A replaced process that was paused resumes and sends suspicions from its old
         # table.
         membership = build_membership(FIRST)
@@ -315,7 +315,7 @@
         [(_, record)] = list_updates(reply)
         assert record.incarnation == 2_000
 
-    def test_a_replaced_process_falls_silent(self):
+    def test_a_replaced_process_sends_nothing(self):
         # Guards against two processes of one name that refute each other for ever and
         # both own the same groups.
         old = build_membership(SECOND)
@@ -406,7 +406,7 @@
         fleet.run(seconds)
         return fleet
 
-    def test_each_side_goes_on_and_both_heal_after_an_hour(self):
+    def test_both_sides_serve_and_merge_after_an_hour(self):
         # Guards against regions that stay partitioned after the path is restored,
         # because dead members are not probed.
         fleet = self.build_cut(3_600.0)
@@ -435,7 +435,7 @@
             (MemberState.LEAVING, MemberState.LEAVING),
         ],
     )
-    def test_the_dead_of_another_s_table_are_doubted(self, state, expected):
+    def test_dead_members_of_a_received_table_become_suspects(self, state, expected):
         # Guards against a received table that ends the work of live hosts until they
         # refute, or turns a leaving host into a suspect, which gets work.
         membership = build_membership(FIRST)
@@ -450,7 +450,7 @@
         membership.advance(now=5.0)
         assert get_state(membership, SECOND) is MemberState.DEAD
 
-    def test_news_that_ended_during_a_short_cut_is_found_by_comparing(self):
+    def test_updates_missed_during_a_short_cut_are_found_by_comparing_tables(self):
         # Guards against updates that are lost for good: a record is sent a bounded
         # number of times, and the cut is too short to be detected.
         fleet = build_fleet(self.NAMES, seed=16)
@@ -479,7 +479,7 @@
         receive_gossip(membership, build_member(THIRD), build_member(SECOND))
         assert SECOND not in membership.live()
 
-    def test_they_are_bounded_in_time_and_number(self):
+    def test_tombstones_are_bounded_in_time_and_number(self):
         roster = Roster()
         for number in range(MAX_TOMBSTONES + 10):
             dead = build_member(f"ptl-a-{number}", state=MemberState.DEAD)
@@ -490,7 +490,7 @@
         roster.forget_dead(now=5_000.0 + TOMBSTONE_S)
         assert roster.dead_since(0.0) == []
 
-    def test_a_process_that_slept_for_days_brings_nobody_back(self):
+    def test_a_process_paused_for_days_brings_back_no_dead_member(self):
         # Guards against a dead member brought back by a process that was paused until
         # the others dropped its tombstone.
         fleet = build_fleet(HOSTS, seed=17)
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -86,7 +86,7 @@
         monkeypatch.setattr(objects, "parse_settings", None)
         assert self.read(value) == replace(settings, version=7)
 
-    def test_a_text_that_was_changed_alone_counts(self):
+    def test_an_outdated_resolved_form_is_ignored(self):
         """Guards against hosts that act on settings other than operators see.
 
         An older tool or a person may replace the text and keep the old resolved form.
@@ -135,7 +135,7 @@
             ([{"version": 1}], "missing required field `shards`"),
         ],
     )
-    def test_an_impossible_partition_map_is_refused(self, snapshots, words):
+    def test_an_inconsistent_partition_map_is_rejected(self, snapshots, words):
         data = msgspec.json.encode({"snapshots": snapshots})
         with pytest.raises(ObjectError, match=f"index/search: .*{words}"):
             decode_index_object(data, service="search", version=4)
--- a/tests/test_once_machine.py
+++ b/tests/test_once_machine.py
@@ -295,7 +295,7 @@
 class TestAtMostOnce:
     """The real classes hold the invariants in every run."""
 
-    def test_no_walk_breaks_a_promise(self):
+    def test_no_run_violates_an_invariant(self):
         run_state_machine_as_test(OnceMachine, settings=SEARCH)
 
 
@@ -379,7 +379,7 @@
             "runs others' tickets",
         ],
     )
-    def test_machine_finds(self, fault, attributes):
+    def test_a_missing_safeguard_is_found(self, fault, attributes):
         attributes = {**attributes, "faults": frozenset({fault})}
         variant = type("Variant", (OnceMachine,), attributes)
         with pytest.raises(AssertionError, match="ran"):
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -132,7 +132,7 @@
 
 
 class TestKilledIssuer:
-    async def test_before_the_start_it_is_not_run_and_after_it_unknown(self, bench):
+    async def test_unused_tickets_are_not_run_and_used_ones_unknown(self, bench):
         """Guards against a wrong outcome of tickets whose issuer dies.
 
         The witness voids the unused ticket and has recorded the start of the used one.
@@ -169,7 +169,7 @@
         await bench.wait_until_known(ticket, OTHER)
         assert await bench.count_runs() == 1
 
-    async def test_what_was_told_not_run_never_runs(self, bench):
+    async def test_a_request_answered_not_run_never_runs(self, bench):
         """Guards against a run after "not run" by an issuer that was paused.
 
         A retry made the witness void the ticket, so it refuses the late start.
@@ -191,7 +191,7 @@
 
 
 class TestPausedWitness:
-    async def test_nothing_runs_without_its_record(self, bench):
+    async def test_nothing_runs_without_a_record_of_the_witness(self, bench):
         """Guards against a run that the paused witness has not recorded."""
         ticket = await bench.issue()
         bench.entries[WITNESS].pause()
@@ -226,7 +226,7 @@
 class TestJudge:
     """The comparison that `make measure-once` reports."""
 
-    def test_tells_broken_promises_from_kept_ones(self):
+    def test_counts_broken_guarantees(self):
         def book(name, *request_ids, **fields):
             return Booking(name=name, started=0.0, request_ids=[*request_ids], **fields)
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -113,7 +113,7 @@
 
 class TestDraining:
     @pytest.mark.parametrize("health", ["draining", "serving"])
-    async def test_leaving_server_gets_no_new_work(self, health, clock):
+    async def test_draining_server_gets_no_new_calls(self, health, clock):
         # A server drains, whatever its health endpoint reports. Its refusals count:
         # the other replica answers all calls, and it soon receives none.
         async with open_bench() as bench:
@@ -163,7 +163,7 @@
 
 
 class TestChangesBeforeAnAttemptRuns:
-    async def test_a_server_taken_away_in_the_same_turn_ends_nothing_else(self, clock):
+    async def test_removing_a_server_before_its_attempt_runs(self, clock):
         # New settings remove a server before the task of its attempt first runs. If
         # the task looked up its connections only then, it would end the process.
         async with open_bench() as bench:
--- a/tests/test_pinning.py
+++ b/tests/test_pinning.py
@@ -52,14 +52,14 @@
         pinning.observe(shard="s1", versions=(7, 8), now=2.2)
         assert pinning.choose(now=2.2).version == 8
 
-    def test_a_shard_that_nobody_asks_does_not_hold_back_the_library(self):
+    def test_a_shard_without_calls_does_not_hold_back_a_version(self):
         pinning = Pinning(published=publish(7))
         pinning.observe(shard="s0", versions=(7,), now=1.0)
         pinning.replace(publish(7, 8, at=2), now=2.0)
         assert pinning.choose(now=2.5).version == 7
         assert pinning.choose(now=2.0 + PUBLICATION_GRACE_S).version == 8
 
-    def test_an_old_list_that_comes_late_changes_nothing(self):
+    def test_an_older_list_is_ignored(self):
         pinning = Pinning(published=publish(7, 8, at=5))
         pinning.replace(publish(6, 7, at=4), now=1.0)
         assert pinning.choose(now=1.0).version == 8
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -72,19 +72,19 @@
             assert running.is_alive()
             assert read_usage(running.pid).rss_bytes > 1_000_000
 
-    async def test_an_early_end_shows_what_the_process_said(self, environment):
+    async def test_an_early_exit_shows_the_output(self, environment):
         with pytest.raises(StartError, match="no such host"):
             async with open_processes() as processes:
                 await processes.start("failing", environment=environment)
 
-    async def test_a_process_that_is_never_ready_is_given_up(self, environment):
+    async def test_a_process_that_is_never_ready_is_stopped(self, environment):
         with pytest.raises(StartError, match="not ready"):
             async with open_processes() as processes:
                 await processes.start("silent", ready_s=0.1, environment=environment)
         assert is_gone(processes.running[0].pid)
 
 
-class TestLeavesNothingBehind:
+class TestCleanUp:
     async def test_paused_and_running_ones_end_when_the_block_fails(self, environment):
         with pytest.raises(ZeroDivisionError):
             async with open_processes() as processes:
@@ -156,7 +156,7 @@
     def test_free_ports_are_distinct(self):
         assert len(set(find_free_ports(50))) == 50
 
-    def test_a_port_is_dealt_once(self, monkeypatch):
+    def test_a_port_is_assigned_once(self, monkeypatch):
         # Guards against a port that is assigned to two programs, the second of which
         # then fails to start.
         monkeypatch.setattr(processes, "FIRST_PORT", 31_800)
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -115,7 +115,7 @@
             assert outcome == Unchanged(version=version)
             assert fake.platform.counts["put"] == 0
 
-    async def test_of_two_operators_who_race_one_is_refused(self):
+    async def test_one_of_two_concurrent_edits_is_refused(self):
         """Two operators edit version 1; the second write must not undo the first."""
         outcomes = []
 
@@ -146,7 +146,7 @@
 
 
 class TestLostReplies:
-    async def test_an_edit_whose_reply_was_lost_is_found_again(self, clock):
+    async def test_an_edit_whose_reply_was_lost_is_accepted_once(self, clock):
         """The edit is stored but the reply is lost, and the retry conflicts.
 
         The edit's id in the stored object shows that it was accepted.
@@ -219,7 +219,7 @@
         assert isinstance(never_sent, NotWritten)
         assert "server error" in never_sent.reason
 
-    async def test_a_refusal_after_a_lost_reply_leaves_it_open(self, clock):
+    async def test_a_refusal_after_a_lost_reply_is_unresolved(self, clock):
         # The first write takes effect, but a proxy replies with an error, and the
         # retry is refused. "Not written" would be wrong.
         async with open_platform() as (fake, client):
--- a/tests/test_querylimiter.py
+++ b/tests/test_querylimiter.py
@@ -29,7 +29,7 @@
         assert all(v.reason is Reason.OVERLOADED for v in refused)
         assert all(v.retry_after_ms > 0 for v in refused)
 
-    def test_quiet_hour_does_not_narrow_the_gate(self):
+    def test_a_quiet_hour_does_not_lower_the_limit(self):
         # Guards against estimating capacity from arrivals, which would refuse the first
         # burst after a quiet hour.
         limiter = QueryLimiter()
@@ -151,7 +151,9 @@
 
 
 class TestQueryAdmission:
-    async def test_room_of_a_caller_that_left_goes_to_the_next(self, autojump_clock):
+    async def test_the_place_of_a_caller_that_left_goes_to_the_next(
+        self, autojump_clock
+    ):
         # Guards against losing a place when a caller leaves just as its query is
         # admitted.
         admission = QueryAdmission()
--- a/tests/test_homes_processes.py
+++ b/tests/test_regions_processes.py
@@ -31,8 +31,8 @@
         yield platform
 
 
-class TestHomeRegions:
-    async def test_no_server_abroad_runs_a_request(self, platform):
+class TestAllowedRegions:
+    async def test_no_server_outside_the_allowed_regions_runs_a_request(self, platform):
         """Guards against nearer replicas, hedges and owners in a forbidden region."""
         gateways = await platform.start(*REGIONS)
         for leaf in platform.leaves:
@@ -45,21 +45,23 @@
                 assert (await platform.request(gateway, "/one/y")).status == 200
         assert platform.count_arrivals("cle-a") == 0
 
-    async def test_no_host_abroad_owns_a_part_of_it(self, platform):
+    async def test_no_host_outside_the_allowed_regions_owns_a_part(self, platform):
         """Guards against a body that is sent to a host outside the allowed regions."""
         home, abroad = await platform.start("ptl-a", "cle-a")
         for _ in range(3):
             assert (await platform.request(home, "/home/x")).status == 200
         assert not abroad.read_events("plan")
 
-    async def test_routes_without_a_home_use_all_regions(self, platform):
+    async def test_routes_without_allowed_regions_use_all(self, platform):
         """Guards against a restriction of routes without allowed regions."""
         gateways = await platform.start(*REGIONS)
         for gateway in gateways:
             assert (await platform.request(gateway, "/all/x")).status == 200
         assert platform.count_arrivals("cle-a") > 0
 
-    async def test_a_home_without_servers_is_refused_at_once(self, platform):
+    async def test_requests_without_servers_in_the_allowed_regions_are_refused_at_once(
+        self, platform
+    ):
         """Guards against requests that are held, or run in another region."""
         [gateway] = await platform.start("ptl-a")
         answer = await platform.request(gateway, "/lost/x", attempt="lost")
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -195,7 +195,7 @@
         b.in_flight = 1
         assert pick_name(replicas) == "b"
 
-    def test_a_health_endpoint_that_lies_brings_no_work_to_a_leaving_server(self):
+    def test_a_wrong_health_endpoint_brings_no_calls_to_a_draining_server(self):
         # Guards against new calls to a draining server whose health endpoint still
         # reports "serving".
         a, _ = make_replicas()
@@ -223,7 +223,7 @@
         answer(a, "serving", started=99.8, now=100.1)
         assert a.state == "draining"
 
-    def test_all_said_to_drain_by_health_alone_is_put_to_the_test(self):
+    def test_fails_open_when_only_health_endpoints_report_draining(self):
         # Guards against losing a shard when all health endpoints wrongly report
         # "draining".
         a, b = replicas = make_replicas()
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -73,7 +73,7 @@
         assert not reader.may_keep_alive
 
 
-class TestFollowed:
+class TestTrailingData:
     """Data after a complete answer, such as a duplicate or a late answer.
 
     It must not be read as the answer to the next request on the connection.
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -92,7 +92,7 @@
             assert trio.current_time() - started < 0.05
             nursery.cancel_scope.cancel()
 
-    async def test_own_stall_is_not_blamed_on_an_owner(self, autojump_clock):
+    async def test_a_pause_of_this_process_loses_no_owner(self, autojump_clock):
         # After a pause of this process its timers are due while the owners' answers
         # lie unread. It must read them, rather than give the owners up.
         async with trio.open_nursery() as nursery:
@@ -155,7 +155,7 @@
             assert result.coverage.n_asked == len(new.shards)
             nursery.cancel_scope.cancel()
 
-    async def test_shard_without_the_version_is_stated(self, autojump_clock):
+    async def test_shard_without_the_version_is_reported(self, autojump_clock):
         # One group lacks the version of the others, and no newer one is published. The
         # answer names the missing shard and the reason.
         async with trio.open_nursery() as nursery:
@@ -179,7 +179,7 @@
 
 
 class TestStragglers:
-    async def test_straggler_is_given_up_cancelled_and_stated(self, autojump_clock):
+    async def test_straggler_is_given_up_cancelled_and_reported(self, autojump_clock):
         # All replicas of a shard are slow, and the policy prefers latency. The answer
         # comes without the shard, which is reported missing and cancelled.
         async with trio.open_nursery() as nursery:
--- a/tests/test_server_ends_processes.py
+++ b/tests/test_server_ends_processes.py
@@ -88,7 +88,7 @@
     return sum(len(leaf.crashed_by) for leaf in platform.leaves)
 
 
-class TestRequestsThatEndServers:
+class TestRequestsThatCrashServers:
     async def test_a_search_is_kept_from_servers_by_every_host(self, platform):
         # Guards against a search that crashes all servers of an index with each repeat,
         # since repeats have new ids and come to other hosts.
@@ -106,7 +106,7 @@
         assert count_crashing_attempts(platform) <= 3 + MAX_REPEATS
         assert answer.status == 503
 
-    async def test_a_host_that_starts_later_knows(self, platform):
+    async def test_a_new_host_reads_the_strikes_first(self, platform):
         # All hosts that observed crashes are gone. Guards against a new one that serves
         # callers before it has read the strikes in the store.
         gateways = await platform.start("ptl-a", "ptl-b")
@@ -133,9 +133,7 @@
             assert answer.status == 200
 
     @pytest.mark.parametrize("store_mode", ["up", "busy"])
-    async def test_hosts_hear_of_it_from_the_host_that_saw_it(
-        self, platform, store_mode
-    ):
+    async def test_strikes_are_sent_to_all_hosts_directly(self, platform, store_mode):
         # A caller that got 502 retries at once at another host. Guards against a strike
         # that reaches this host later, as the store is slower or down.
         gateways = await platform.start("ptl-a", "ptl-b", "sea-a")
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -104,7 +104,7 @@
 
 
 class TestAcceptedEdit:
-    async def test_is_in_force_though_a_watch_holder_dies_at_that_moment(self, bench):
+    async def test_is_activated_when_a_watch_holder_dies_at_that_moment(self, bench):
         # A watch holder dies without having read an accepted edit. The other hosts get
         # it from the second holder, and the first one before it is ready again.
         victim = bench.holders[0]
@@ -117,7 +117,7 @@
             status = await bench.get_status(victim)
         assert status["settings"]["version"] == version
 
-    async def test_is_in_force_though_all_watch_holders_die(self, bench):
+    async def test_is_activated_when_all_watch_holders_die(self, bench):
         # No watch holder has read the edit. The hosts ranked next take over once the
         # dead ones are detected, and have to read it.
         for name in bench.holders:
@@ -130,7 +130,7 @@
 
 
 class TestPlatformDown:
-    async def test_a_restarted_host_takes_the_newest_from_its_peers(self, bench):
+    async def test_a_restarted_host_gets_the_newest_version_from_its_peers(self, bench):
         # Guards against serving with the old file after a restart during an outage of
         # the platform.
         version = await bench.edit(250)
--- a/tests/test_ticketservice.py
+++ b/tests/test_ticketservice.py
@@ -330,7 +330,7 @@
 
 
 class TestIssuer:
-    async def test_a_paused_issuer_never_runs_what_was_told_not_run(
+    async def test_a_paused_issuer_never_runs_a_voided_ticket(
         self, hosts, autojump_clock
     ):
         """A ticket is voided while its issuer is paused, and answered "not run".
@@ -443,7 +443,7 @@
         assert get_witness(new) == Peer(host=host, incarnation=2)
         assert isinstance(await hosts.run(new), RunResult)
 
-    async def test_its_restart_is_told_as_its_loss(self, hosts, autojump_clock):
+    async def test_a_restarted_witness_counts_as_lost(self, hosts, autojump_clock):
         """Without issuer and witness, the outcome is "unknown", with the reason."""
         ticket = await hosts.issue()
         hosts.kill("a-1")
@@ -520,7 +520,7 @@
         ticket = await hosts.issue()
         assert isinstance(await hosts.run(ticket), RunResult)
 
-    async def test_a_silent_one_is_found_before_the_request_leaves(
+    async def test_a_silent_owner_is_found_before_the_request_is_sent(
         self, hosts, autojump_clock
     ):
         """An idle channel to the owner is dead; the next owner runs the request.
@@ -570,9 +570,7 @@
         hosts.kill("a-1")
         assert isinstance(await hosts.look_up(ticket, "b-1"), RunResult)
 
-    async def test_a_lost_witness_costs_little_of_the_drain(
-        self, hosts, autojump_clock
-    ):
+    async def test_a_lost_witness_delays_the_drain_little(self, hosts, autojump_clock):
         """An unreachable witness of thirty outcomes must not delay a planned stop."""
         hosts.pause()
         tickets = [await hosts.issue() for _ in range(30)]
--- a/tests/test_timerqueue.py
+++ b/tests/test_timerqueue.py
@@ -57,7 +57,7 @@
             assert woken == [1, 2, 3]
             nursery.cancel_scope.cancel()
 
-    async def test_what_has_arrived_is_read_before_anything_is_due(self):
+    async def test_sockets_are_read_before_timers_wake(self):
         # After a long turn of the loop, an answer lies unread when the call's hedge is
         # due. Were the timer woken first, the answered call would be hedged.
         timers = TimerQueue()
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -107,7 +107,7 @@
         assert witness.void(ticket, now=10.0) == Forgotten()
         assert len(witness) == 0
 
-    def test_later_life_of_the_host_says_nothing(self):
+    def test_a_restarted_witness_replies_forgotten(self):
         """Guards against a void by a restarted witness, which has no records."""
         witness = make_witness(peer=replace(WITNESS, incarnation=10))
         [ticket] = issue(1)
