--- a/lab/settings.py
+++ b/lab/settings.py
@@ -88,7 +88,7 @@
         whole, newline, _ = data.rpartition(b"\n")
         self.n_read += len(whole) + len(newline)
         for line in whole.splitlines():
-            if b'"in force"' in line:
+            if b'"document activated"' in line:
                 self._record(msgspec.json.decode(line))
 
     def _record(self, line: dict[str, Any]) -> None:
--- a/src/lavendergap/entry/activeconfig.py
+++ b/src/lavendergap/entry/activeconfig.py
@@ -65,7 +65,7 @@
         metrics.settings_version.set(table.version)
         log_decision(
             logger,
-            "routes in force",
+            "routes activated",
             request_id=None,
             version=table.version,
             before=before,
--- a/src/lavendergap/entry/coordinator.py
+++ b/src/lavendergap/entry/coordinator.py
@@ -48,7 +48,7 @@
         if refusal is not None:
             log_decision(
                 logger,
-                "refuse",
+                "query refused",
                 request_id=query.request_id,
                 service=query.service.name,
                 n_running=admission.limiter.n_running,
@@ -93,7 +93,7 @@
                 logger,
                 "newer snapshot",
                 request_id=query.request_id,
-                gone=snapshot.version,
+                gone_version=snapshot.version,
             )
         assert run is not None and result is not None
         return run, result
--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -93,7 +93,7 @@
             case StoreUnavailable(step=step, reason=reason):
                 log_decision(
                     logger,
-                    "store lost",
+                    "store unavailable",
                     request_id=None,
                     feed=HOSTS_FEED,
                     step=step.value,
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -286,7 +286,7 @@
                 self._use_index(published)
         log_decision(
             logger,
-            "in force",
+            "document activated",
             request_id=None,
             document=name,
             version=version,
@@ -320,7 +320,7 @@
 def _log_refusal(name: str, version: int, source: Source, problem: str) -> None:
     log_decision(
         logger,
-        "refused",
+        "document refused",
         request_id=None,
         level=logging.ERROR,
         document=name,
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -205,7 +205,7 @@
                     self._record_answer()
                     log_decision(
                         logger,
-                        "history gone",
+                        "feed history expired",
                         request_id=None,
                         feed=self.feed,
                         revision=base,
@@ -261,7 +261,7 @@
         if self._n_failures:
             log_decision(
                 logger,
-                "store regained",
+                "store available",
                 request_id=None,
                 feed=self.feed,
                 n_failures=self._n_failures,
@@ -277,7 +277,7 @@
         if self._n_failures == 1:
             log_decision(
                 logger,
-                "store lost",
+                "store unavailable",
                 request_id=None,
                 feed=self.feed,
                 step=lost.step.value,
--- a/src/lavendergap/entry/quarantine.py
+++ b/src/lavendergap/entry/quarantine.py
@@ -136,7 +136,7 @@
             n_servers=len(servers),
             servers=strike.servers,
             is_trial=is_trial,
-            is_taken=is_new,
+            is_new=is_new,
             standing=self._quarantine.get_standing(content, now=now).value,
         )
         self._update_gauge()
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -281,7 +281,7 @@
                 by_host.setdefault(host, []).append(shard)
         log_decision(
             logger,
-            "route",
+            "query sent",
             request_id=self._query.request_id,
             version=self._snapshot.version,
             owners={host: len(owned) for host, owned in by_host.items()},
--- a/src/lavendergap/entry/ticketservice.py
+++ b/src/lavendergap/entry/ticketservice.py
@@ -154,7 +154,7 @@
             return Refusal(request_id=request.request_id, outcome=issued)
         log_decision(
             logger,
-            "issue",
+            "ticket issued",
             request_id=request.request_id,
             service=request.service.name,
             serial=issued.serial,
@@ -189,11 +189,11 @@
             verdict = resolve_by_witness(ticket, said)
         log_decision(
             logger,
-            "ticket",
+            "ticket resolved",
             request_id=request_id,
             issuer=ticket.issuer.host,
             serial=ticket.serial,
-            said=type(reply).__name__,
+            issuer_reply=type(reply).__name__,
             verdict=_describe(verdict),
         )
         match verdict:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -40,7 +40,7 @@
     write_done("refused", outcome="not run", reason="shed", step="queue", peer="s1"),
     write_done("failed", outcome="unknown", reason="lost connection", step="receive"),
     write("caller left", request_id="left", route="search", after_ms=12.0),
-    write("store lost", request_id=None, feed="servers"),
+    write("store unavailable", request_id=None, feed="servers"),
 ]
 OWNER = [
     write("plan", request_id="queued", n_calls=9, n_queued=3),
@@ -114,7 +114,7 @@
             "2026-03-01T10:00:00": {
                 "asked": 7,
                 "lost": 4,
-                "beliefs": {"store lost": 1},
+                "beliefs": {"store unavailable": 1},
             }
         }
 
