--- a/lab/reference.py
+++ b/lab/reference.py
@@ -59,7 +59,7 @@
 
 
 def _write_options(options: tuple[Option, ...] | list[Option]) -> Iterator[str]:
-    yield "| option | value | default | may stand at | |"
+    yield "| option | value | default | allowed at | |"
     yield "|---|---|---|---|---|"
     for option in options:
         value = describe_kind(option.kind)
--- a/src/lavendergap/commands/apply.py
+++ b/src/lavendergap/commands/apply.py
@@ -125,7 +125,7 @@
             print_note(f"accepted as version {version}, edit {proposal.id}")
             return version
         case Unchanged(version=version):
-            print_note(f"nothing to change: version {version} has this very text")
+            print_note(f"nothing to change: version {version} has the same text")
             return version
         case EditConflict():
             lines = _explain_conflict(outcome, proposal, file)
@@ -146,7 +146,7 @@
     """Yield a description of other edits since the base: their values and ours."""
     version = conflict.version
     yield (
-        f"your edit is made from version {proposal.base}, but version {version} is in "
+        f"your edit is based on version {proposal.base}, but version {version} is in "
         "place; nothing was written"
     )
     theirs = parse_text(conflict.head.text, file=f"version {version}")
--- a/src/lavendergap/commands/explain.py
+++ b/src/lavendergap/commands/explain.py
@@ -92,7 +92,7 @@
                 f"more than {MAX_LINES_SHOWN} lines match {wanted!r}"
             )
     if not matching:
-        raise LavendergapError(f"no line tells of {wanted!r}")
+        raise LavendergapError(f"no line matches {wanted!r}")
     matching.sort(key=lambda line: line.time)
     if as_json:
         print_json([{"host": line.host, **line.fields} for line in matching])
@@ -152,15 +152,17 @@
             at,
             second.n_asked,
             second.n_lost,
-            _format_changes(second.events.most_common(4)),
+            _format_events(second.events.most_common(4)),
         )
         for at, second in stats.list_worst_seconds(N_SECONDS_SHOWN)
     ]
     if seconds:
-        print_table(("WORST SECONDS", "ASKED", "LOST", "BELIEFS THAT CHANGED"), seconds)
+        print_table(
+            ("WORST SECONDS", "ASKED", "LOST", "EVENTS WITHOUT A REQUEST"), seconds
+        )
     if stats.n_bad_lines:
-        print_note(f"{stats.n_bad_lines} lines were no log lines")
+        print_note(f"{stats.n_bad_lines} lines are not log lines")
 
 
-def _format_changes(beliefs: list[tuple[str, int]]) -> str:
-    return ", ".join(f"{n_times} x {event}" for event, n_times in beliefs)
+def _format_events(events: list[tuple[str, int]]) -> str:
+    return ", ".join(f"{n_times} x {event}" for event, n_times in events)
--- a/src/lavendergap/state/branch.py
+++ b/src/lavendergap/state/branch.py
@@ -271,7 +271,7 @@
     for option in OPTIONS:
         if option.name == key:
             levels = ", ".join(option.levels)
-            return f"this option may stand at: {levels}; not at a {level}"
+            return f"this option is allowed at: {levels}; not at a {level}"
     for kind in BRANCHES:
         if kind.key == key:
             return f"this branch belongs in a {kind.parent}, not in a {level}"
--- a/src/lavendergap/state/check.py
+++ b/src/lavendergap/state/check.py
@@ -82,7 +82,7 @@
                 continue
         first = seen.setdefault(branch.name, branch.path)
         if first != branch.path:
-            what = f"expected a name of its own, but {first} has it too"
+            what = f"expected a unique name, but {first} has it too"
             yield Finding(path=branch.path, expected=what)
 
 
@@ -96,7 +96,7 @@
             path = f"{branch.path}.{name}" if branch.path else name
             first = seen.setdefault(address, path)
             if first != path:
-                what = f"expected an address of its own, but {first} has {address} too"
+                what = f"expected a unique address, but {first} has {address} too"
                 yield Finding(path=path, expected=what)
 
 
@@ -120,7 +120,8 @@
     hedges = _is_below(0.0, branch.get("hedge_budget"))
     if hedges and _is_below(branch.get("deadline_ms"), MIN_HEDGE_DEADLINE_MS):
         what = (
-            f"expected at least {MIN_HEDGE_DEADLINE_MS} to hedge in, or hedge_budget 0"
+            f"expected at least {MIN_HEDGE_DEADLINE_MS} to allow hedging, "
+            "or hedge_budget 0"
         )
         yield _make_finding(branch, "deadline_ms", what)
 
--- a/src/lavendergap/state/difference.py
+++ b/src/lavendergap/state/difference.py
@@ -50,7 +50,7 @@
     """Return a value for display: one line, truncated if it is long."""
     match value:
         case Absent():
-            return "(not stated)"
+            return "(not set)"
         case dict():
             return f"{{{', '.join(map(json.dumps, value))}}}"[:_MAX_SHOWN_CHARS]
     shown = json.dumps(value)
--- a/src/lavendergap/state/options.py
+++ b/src/lavendergap/state/options.py
@@ -223,7 +223,7 @@
             'What to do about straggling shards. {"kind": "wait"} waits for all of '
             'them up to the deadline. {"kind": "give up", "min_share": 0.95, '
             '"patience": 2.0} answers once that share of the library is covered and '
-            "that many times the median shard's time has passed."
+            "that many times the shards' median response time has passed."
         ),
     ),
     Option(
@@ -301,14 +301,14 @@
         default=1_000,
         low=50,
         high=60_000,
-        help="Time between two looks at a backend server's health.",
+        help="Time between two health checks of a backend server.",
     ),
     _make_duration_option(
         "idle_connection_ms",
         default=15_000,
         low=100,
         high=600_000,
-        help="Time for which an unused connection is trusted.",
+        help="Time after which an unused connection is no longer reused.",
     ),
     Option(
         name="watch_holders",
@@ -316,7 +316,7 @@
         unit="hosts",
         default=2,
         levels=(Level.CONTROL,),
-        help="Hosts that watch the platform; the others learn from their peers.",
+        help="Hosts that watch the platform; the others get its documents from peers.",
     ),
     _make_duration_option(
         "ticket_lifetime_ms",
--- a/src/lavendergap/state/syntax.py
+++ b/src/lavendergap/state/syntax.py
@@ -117,7 +117,7 @@
     rest = error.doc[error.pos :]
     what = error.msg
     if not rest.strip():
-        what = "the file ends too early, as if cut short"
+        what = "the file is truncated"
     elif rest.startswith("/*"):
         what = "this comment has no end"
     elif what.startswith("Unterminated string"):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -278,7 +278,7 @@
         assert "version 2 is in place; nothing was written" in err
         assert "kim, " in err
         assert "    slots: theirs 4, yours 5\n" in err
-        assert "    deadline_ms: theirs 100, yours (not stated)\n" in err
+        assert "    deadline_ms: theirs 100, yours (not set)\n" in err
         assert "apply it with --base 2" in err
 
     def test_bad_settings_write_nothing(self, call, deployment):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -122,7 +122,7 @@
         assert run(["explain", *logs]) == 0
         shown = capsys.readouterr()
         assert "waited for a slot" in shown.out
-        assert "2 lines were no log lines" in shown.err
+        assert "2 lines are not log lines" in shown.err
 
 
 class TestRequest:
@@ -136,7 +136,7 @@
 
     def test_an_unknown_request_is_an_error(self, logs, capsys):
         assert run(["explain", *logs, "--request", "nobody's"]) == 1
-        assert "no line tells of" in capsys.readouterr().err
+        assert "no line matches" in capsys.readouterr().err
 
 
 class TestMistakes:
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -129,7 +129,7 @@
         [
             ("slosts", 2, "slosts", "unknown; did you mean slots?"),
             (f"{SEARCH}.groop", {}, f"{SEARCH}.groop", "did you mean groups?"),
-            (f"{SEARCH}.admin", "x", f"{SEARCH}.admin", "may stand at: host"),
+            (f"{SEARCH}.admin", "x", f"{SEARCH}.admin", "is allowed at: host"),
             (f"{SEARCH}.hosts", {}, f"{SEARCH}.hosts", "belongs in a data centre"),
             ("slots", "2", "slots", "a whole number from 1 to 10000, found '2'"),
             ("slots", True, "slots", "found true"),
@@ -186,7 +186,7 @@
                 "services.ledger.groups.ledger-0.servers.search-0-a",
                 {"address": "127.0.0.1:20009"},
                 "services.ledger.groups.ledger-0.servers.search-0-a",
-                f"a name of its own, but {SERVER_A} has it too",
+                f"a unique name, but {SERVER_A} has it too",
             ),
             (
                 "services.ledger.groups.search-0",
@@ -199,7 +199,7 @@
                 f"{SEARCH}.deadline_ms",
                 19,
                 f"{SEARCH}.deadline_ms",
-                "at least 20 to hedge in, or hedge_budget 0, found 19",
+                "at least 20 to allow hedging, or hedge_budget 0, found 19",
             ),
             (
                 "hedge_budget",
@@ -281,7 +281,7 @@
         ("text", "place", "words"),
         [
             ('{"a": 1, /* x\n */ "b" 2}', "2:9", "Expecting ':' delimiter"),
-            ('{"a": {\n "b": 2', "2:8", "the file ends too early, as if cut short"),
+            ('{"a": {\n "b": 2', "2:8", "the file is truncated"),
             ('{"a": "b', "1:7", "this string has no end"),
             ('{"a": "b\n"}', "1:9", "this line ends inside a string"),
             ('{"a": 1, /* b', "1:10", "this comment has no end"),
@@ -290,7 +290,7 @@
             ('{"a": 1} /*/ ', "1:10", "this comment has no end"),
             ('"\\' * 450_000, "1:1", "this string has no end"),
             ("/* " * 300_000, "1:1", "this comment has no end"),
-            ("", "1:1", "the file ends too early"),
+            ("", "1:1", "the file is truncated"),
             ("[1]", "", "an object { ... }"),
             ('{"a": {"b": 1, "b": 1}}', "a.b", "this key is duplicated"),
             ('{"a":' * 13 + "1" + "}" * 13, ".".join("a" * 12), "12 levels"),
