--- a/src/lavendergap/commands/status.py
+++ b/src/lavendergap/commands/status.py
@@ -22,11 +22,13 @@
     """Show the state of every entry host and the settings it has in force."""
     hosts = load_settings(settings_path).hosts
     answers = trio.run(fetch_all, hosts)
-    places = {host.name: host.data_centre for host in hosts}
+    data_centres = {host.name: host.data_centre for host in hosts}
     if as_json:
-        print_json({name: answers[name] for name in places})
+        print_json({name: answers[name] for name in data_centres})
     else:
-        rows = (_make_row(name, places[name], answers[name]) for name in places)
+        rows = (
+            _make_row(name, data_centres[name], answers[name]) for name in data_centres
+        )
         print_table(_COLUMNS, rows)
     if not any(isinstance(answer, HostStatus) for answer in answers.values()):
         raise UnreachableError(
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -77,7 +77,7 @@
 
     def test_an_evacuated_data_centre_has_neither_servers_nor_owners(self):
         """Guards against owners in a data centre whose servers get no calls."""
-        services, places = build(
+        services, data_centres = build(
             make_server("i1", "s1", "ptl-a"),
             make_server("i2", "s1", "ptl-b"),
             make_server("i3", "s2", "ptl-a"),
@@ -85,7 +85,7 @@
         )
         assert [each.name for each in services["s1"].groups[0].servers] == ["i2"]
         assert services["s2"].groups[0].servers == ()
-        assert places == {"s1": {"ptl-b"}, "s2": frozenset()}
+        assert data_centres == {"s1": {"ptl-b"}, "s2": frozenset()}
 
     def test_a_group_without_servers_is_kept(self):
         services, _ = build()
@@ -100,10 +100,10 @@
     def test_owners_share_the_connections_of_a_shard(self):
         # Servers in two data centres have an owner in each, and a third while a group
         # moves: together they must not exceed the connections that a server accepts.
-        services, places = build(
+        services, data_centres = build(
             make_server("i1", "s1", "ptl-a"), make_server("i2", "s1", "ptl-b")
         )
-        assert places["s1"] == {"ptl-a", "ptl-b"}
+        assert data_centres["s1"] == {"ptl-a", "ptl-b"}
         assert 3 * services["s1"].groups[0].servers[0].connections <= 26
 
     def test_all_hosts_share_the_connections_of_a_group_that_each_may_call(self):
@@ -154,9 +154,9 @@
     # that neither it nor the runner of its group is rebuilt.
 
     SERVERS = tuple(
-        make_server(f"{group}-{place}", group, f"ptl-{place}")
+        make_server(f"{group}-{letter}", group, f"ptl-{letter}")
         for group in ("s1", "s2", "one")
-        for place in "ab"
+        for letter in "ab"
     )
     TABLE = RouteTable(
         version=3,
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -98,8 +98,8 @@
         group = Group(
             name="scheduler-00",
             servers=tuple(
-                replace(server, data_centre=place)
-                for server, place in zip(
+                replace(server, data_centre=data_centre)
+                for server, data_centre in zip(
                     make_group("ab").servers, ("ptl-a", "ptl-b"), strict=True
                 )
             ),
--- a/tests/test_slow_servers.py
+++ b/tests/test_slow_servers.py
@@ -135,8 +135,8 @@
     group = Group(
         name="scheduler-00",
         servers=tuple(
-            replace(server, data_centre=place)
-            for server, place in zip(
+            replace(server, data_centre=data_centre)
+            for server, data_centre in zip(
                 make_group(NEAR + FAR).servers, ("near", "far", "far"), strict=True
             )
         ),
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -46,15 +46,15 @@
     )
     servers = [
         RegisteredServer(
-            server_id=f"i-{place}",
+            server_id=f"i-{data_centre}",
             group=GROUP,
             address=Address(ip="127.0.0.1", port=9_000 + number),
-            data_centre=place,
+            data_centre=data_centre,
             slots=4,
             is_draining=False,
-            is_cold=place in cold_data_centres,
+            is_cold=data_centre in cold_data_centres,
         )
-        for number, place in enumerate(DATA_CENTRES)
+        for number, data_centre in enumerate(DATA_CENTRES)
     ]
     catalog = build_catalog(
         table=RouteTable(
@@ -75,13 +75,13 @@
     """Hosts with a scheduler each, and the times of the requests to each server."""
 
     def __init__(self, n_hosts: int, service: Service) -> None:
-        self.places = {
+        self.data_centres = {
             f"h{n}": DATA_CENTRES[n % len(DATA_CENTRES)] for n in range(n_hosts)
         }
-        self.views = dict.fromkeys(self.places, self.places)
+        self.views = dict.fromkeys(self.data_centres, self.data_centres)
         self.service = service
         self.sent: dict[str, list[float]] = {}
-        self.owners = {host: self._make_owner(host) for host in self.places}
+        self.owners = {host: self._make_owner(host) for host in self.data_centres}
         self.ends: list[tuple[float, str, int]] = []
 
     def _make_owner(self, host: str) -> Owner:
@@ -90,26 +90,26 @@
             service=self.service,
             control=Control(),
             random=Random(host),
-            data_centre=self.places[host],
+            data_centre=self.data_centres[host],
             may_warm=lambda: self._may_warm(host),
         )
         return Owner(scheduler=scheduler)
 
     def _may_warm(self, host: str) -> bool:
-        placement = Placement(own_data_centre=self.places[host])
+        placement = Placement(own_data_centre=self.data_centres[host])
         placement.replace_hosts(self.views[host])
         return placement.get_first_host_nearby(GROUP) == host
 
-    def find_first(self, place: str) -> str:
+    def find_first(self, data_centre: str) -> str:
         return next(
             host
-            for host, at in self.places.items()
-            if at == place and self._may_warm(host)
+            for host, at in self.data_centres.items()
+            if at == data_centre and self._may_warm(host)
         )
 
     def isolate(self, host: str) -> None:
         """Let a host see no other live host."""
-        self.views[host] = {host: self.places[host]}
+        self.views[host] = {host: self.data_centres[host]}
 
     def play(self, rate: float, seconds: float, rng: Random) -> None:
         """Send calls to random hosts, `rate` a second in all."""
@@ -144,8 +144,8 @@
                 owner.end(attempt_id, elapsed=SERVICE_TIME_S)
             self._note_starts(host, n_before)
 
-    def count_most_in_a_second(self, place: str) -> int:
-        times = sorted(self.sent.get(f"i-{place}", ()))
+    def count_most_in_a_second(self, data_centre: str) -> int:
+        times = sorted(self.sent.get(f"i-{data_centre}", ()))
         return max(
             (
                 bisect_right(times, time) - bisect_right(times, time - WINDOW_S)
@@ -172,7 +172,11 @@
     def test_also_while_some_take_themselves_for_the_one(self, n_hosts):
         """Guards against an isolated host and its successor exceeding the limit."""
         fleet = Fleet(n_hosts, make_service(("ptl-a",)))
-        near = [host for host, place in fleet.places.items() if place == "ptl-a"]
+        near = [
+            host
+            for host, data_centre in fleet.data_centres.items()
+            if data_centre == "ptl-a"
+        ]
         for host in [h for h in near if h != fleet.find_first("ptl-a")][:2]:
             fleet.isolate(host)
         fleet.play(2_000.0, 3.0, Random(1))
@@ -185,8 +189,8 @@
         """Guards against calls that wait until the servers are warm."""
         fleet = Fleet(78, make_service(DATA_CENTRES))
         fleet.play(400.0, 3.0, Random(1))
-        for place in DATA_CENTRES:
-            assert 0 < fleet.count_most_in_a_second(place) <= MAX_IN_A_SECOND
+        for data_centre in DATA_CENTRES:
+            assert 0 < fleet.count_most_in_a_second(data_centre) <= MAX_IN_A_SECOND
         refused = [
             end.outcome
             for owner in fleet.owners.values()
