--- a/src/lavendergap/transport/channel.py
+++ b/src/lavendergap/transport/channel.py
@@ -92,9 +92,9 @@
         self._reply_handlers: dict[int, ReplyHandlers] = {}
         self._last_id = 0
         self._received_at = 0.0
-        # The send time of the first request after which no byte was received. It stays
-        # set when that request is forgotten, so that a silent channel is detected
-        # even if every request on it times out first.
+        # Since when a reply is due and no byte was received; None if no reply is due.
+        # It stays set when the request is forgotten, so that a silent channel is
+        # detected even if every request on it times out first.
         self._unanswered_since: float | None = None
         self._pinged_at: float | None = None
         self._unsent = bytearray()
@@ -244,7 +244,9 @@
         while len(buffer) - start >= LENGTH_PREFIX.size:
             length, is_packed = read_length_prefix(buffer, start)
             if length > MAX_FRAME_BYTES:
-                raise BadFrameError(problem=f"a frame of {length} bytes")
+                raise BadFrameError(
+                    problem=f"a frame of {length} bytes, limit {MAX_FRAME_BYTES}"
+                )
             end = start + LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
@@ -270,7 +272,10 @@
         if hello.format != FORMAT:
             raise BadFrameError(problem=f"format {hello.format}, ours is {FORMAT}")
         if hello.deployment != self._own.deployment:
-            raise BadFrameError(problem=f"deployment {hello.deployment!r}")
+            raise BadFrameError(
+                problem=f"deployment {hello.deployment!r}, ours is "
+                f"{self._own.deployment!r}"
+            )
         self.peer = hello
         self.hello_received.set()
 
