--- a/src/lavendergap/transport/backend.py
+++ b/src/lavendergap/transport/backend.py
@@ -254,8 +254,8 @@
             return NotRun(step=Step.CONNECT, peer=peer, reason=reason)
         if not reused:
             return Unknown(step=Step.RECEIVE, peer=peer, reason=Reason.DEADLINE)
-        # A timeout on a reused connection is blamed on the connection first. Its
-        # other idle connections share the network path, so they are closed too.
+        # A timeout on a reused connection is attributed to the connection first. The
+        # server's idle connections share its network path, so they are closed too.
         log_decision(
             logger,
             "silent connection",
--- a/src/lavendergap/transport/forward.py
+++ b/src/lavendergap/transport/forward.py
@@ -35,7 +35,7 @@
 # fast. On a timeout, the attempt counts as a lost connection only.
 LIVENESS_TIMEOUT_S = 0.05
 # A request that must not run twice reuses only a connection that carried an answer
-# this recently: if the server has closed the connection, its outcome is unknown.
+# this recently: if the server has closed it, the request's outcome is unknown.
 MAX_TRUSTED_IDLE_S = 1.0
 # A read on a connection that was idle for longer than MAX_TRUSTED_IDLE_S gets this
 # share of the time left. If the connection is silent, the rest is for another server.
@@ -149,7 +149,7 @@
                 end(self._make_verdict(call, result))
 
     async def _end_after_loss(self, call: Call, lost: Unknown, end: EndCall) -> None:
-        """End an attempt whose connection was lost, and check if the server has ended.
+        """Check if the server has ended after a lost connection; end the attempt.
 
         A connection can break anywhere on the network path, and a server can drop a
         request and keep running. A port that refuses a new connection at this moment
@@ -237,7 +237,7 @@
             with scope, trio.move_on_at(until):
                 connected = await _connect(self.server)
         except Exception as error:
-            # An unexpected error here must not end the process.
+            # Mostly a refused connection; an unexpected error must not end the process.
             self._log_connect_failure(exchange.call, error)
         finally:
             if connected is None:
--- a/src/lavendergap/transport/gateway.py
+++ b/src/lavendergap/transport/gateway.py
@@ -313,7 +313,7 @@
             case Answered(status=status, headers=headers, body=body):
                 return _Reply(status=status, headers=headers, body=body)
             case MergedRecords():
-                return self._render_joined(request, result)
+                return self._render_merged(request, result)
             case NotRun():
                 return _render_refusal(result)
             case Unknown(reason=reason):
@@ -326,11 +326,11 @@
                     body=encode_error(f"{result.step.value}: {reason.value}"),
                 )
 
-    def _render_joined(self, request: GatewayRequest, joined: MergedRecords) -> _Reply:
+    def _render_merged(self, request: GatewayRequest, merged: MergedRecords) -> _Reply:
         names = self._names
         proofs = [
             value
-            for headers in joined.proofs.values()
+            for headers in merged.proofs.values()
             for name, value in headers
             if name == names.proof
         ]
@@ -338,9 +338,9 @@
         for at in range(0, len(proofs), PROOFS_PER_HEADER):
             batch = b", ".join(proofs[at : at + PROOFS_PER_HEADER])
             headers.append((names.proofs, batch))
-        n_missing = joined.coverage.n_asked - joined.coverage.n_answered
+        n_missing = merged.coverage.n_asked - merged.coverage.n_answered
         headers.append((names.n_missing, b"%d" % n_missing))
-        return _Reply(status=HTTPStatus.OK, headers=tuple(headers), body=joined.records)
+        return _Reply(status=HTTPStatus.OK, headers=tuple(headers), body=merged.records)
 
     async def _send(self, send: Send, reply: _Reply) -> None:
         headers = [*reply.headers, (b"content-length", b"%d" % len(reply.body))]
--- a/src/lavendergap/transport/serverconnection.py
+++ b/src/lavendergap/transport/serverconnection.py
@@ -75,7 +75,7 @@
         """Return whether the connection can be reused after a complete answer."""
 
     def on_silence(self, exchange: Exchange) -> None:
-        """Handle a connection on which no byte arrived in time."""
+        """Handle a connection on which no complete answer arrived in time."""
 
     def on_closed(self, connection: "ServerConnection") -> None:
         """Handle a connection that was closed."""
@@ -121,8 +121,8 @@
         """Begin an exchange; return the part of `data` that is still to be sent.
 
         After a send that fails, no byte of the request was sent; this connection's
-        task then ends the exchange. If no answer has arrived by `silence_deadline`,
-        the connection is treated as silent.
+        task then ends the exchange. If the answer is not complete by
+        `silence_deadline`, the connection is treated as silent.
         """
         exchange.connection = self
         self._exchange = exchange
--- a/src/lavendergap/transport/web.py
+++ b/src/lavendergap/transport/web.py
@@ -14,7 +14,8 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 Scope = dict[str, Any]
 
-# The deadline of a request has passed by then; its connection is needed for others.
+# A request whose body takes longer is refused, so that slow callers cannot occupy
+# connections.
 BODY_TIMEOUT_S = 5.0
 JSON_TYPE = b"application/json"
 
