--- a/src/lavendergap/entry/activeconfig.py
+++ b/src/lavendergap/entry/activeconfig.py
@@ -15,8 +15,8 @@
 MAX_CACHED_SERVERS = 4_096
 """Size of the cache of parsed registry entries: the current and some earlier ones.
 
-Each change passes on all entries, and each is read for its hash, for its comparison
-with the previous one and for use.
+Every change of the feed reads all entries again: to hash them, to compare them with the
+previous ones and to use them.
 """
 
 
--- a/src/lavendergap/entry/admission.py
+++ b/src/lavendergap/entry/admission.py
@@ -5,9 +5,8 @@
 from ..coordination.querylimiter import Admitted, QueryLimiter, Queued
 from ..state.outcome import NotRun, Reason, Step
 
-# A query still waiting after this share of its time is refused. The rest would hardly
-# do for an answer, and the caller has time to retry elsewhere. It is a little more than
-# the limiter's own bound for the wait that it expects.
+# A query still waiting after this share of its time is refused, so that its caller has
+# time to retry elsewhere. Slightly more than the limiter's limit of the expected wait.
 MAX_WAIT_SHARE = 0.3
 TIMEOUT_RETRY_AFTER_MS = 500
 
--- a/src/lavendergap/entry/daemon.py
+++ b/src/lavendergap/entry/daemon.py
@@ -53,7 +53,10 @@
 
 
 def run_entry(settings: Settings, host: str, settings_path: str) -> None:
-    """Run the daemon of `host` until SIGTERM; raise SettingsError if unknown."""
+    """Run the daemon of `host` until SIGTERM.
+
+    Raises SettingsError if `settings` has no host of this name.
+    """
     own = settings.get_host(host)
     if own is None:
         names = ", ".join(h.name for h in settings.hosts)
@@ -79,7 +82,7 @@
 
 
 def make_incarnation() -> int:
-    """Return a number that increases with each start of this process.
+    """Return a number that increases with each start of this host's process.
 
     Wall-clock time in milliseconds, since a host stores nothing across restarts and a
     restart takes longer than a millisecond.
@@ -148,9 +151,9 @@
 
     async def _gossip(self) -> None:
         self._membership.join(host.peers for host in self._settings.hosts)
-        await run_gossip(self._membership, self._endpoint, on_change=self._take_event)
+        await run_gossip(self._membership, self._endpoint, on_change=self._handle_event)
 
-    def _take_event(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         match event:
             case MemberChanged():
                 self._fleet.replace_live(
--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -17,7 +17,8 @@
 
 logger = logging.getLogger("lavendergap.entry")
 
-# Minimum interval of reads of the host list while no peer has answered.
+# Minimum interval of reads of the host list while this host has found no other, or has
+# failed to register.
 HOSTS_RETRY_S = 1.0
 # How long the seeds have to answer before a host registers because it found no other:
 # enough for three probes, since seeds that start at the same time miss the first one.
@@ -34,7 +35,8 @@
 class Discovery:
     """Finds other hosts through the store, where some hosts register.
 
-    A host with only its seeds would own all groups alone while they are down.
+    Seeds are not enough: while they are down, a starting host would find no other host
+    and own all groups itself.
     """
 
     def __init__(
@@ -53,12 +55,12 @@
         self._started_at = trio.current_time()
 
     async def run(self) -> None:
-        """List hosts until one has answered; register if this host is to."""
+        """List hosts until one has answered; register this host if it has to."""
         await self._list_hosts()
         await trio.sleep(SEEDS_WAIT_S)
         while True:
             is_alone = self._is_alone()
-            is_due = not self._is_registered and self._is_to_register()
+            is_due = not self._is_registered and self._must_register()
             if is_alone or is_due:
                 # The entry of this host's previous process may still be valid.
                 await self._list_hosts()
@@ -71,7 +73,7 @@
     def _is_alone(self) -> bool:
         return len(self._membership.live()) < 2
 
-    def _is_to_register(self) -> bool:
+    def _must_register(self) -> bool:
         if self._is_alone():
             return True
         if trio.current_time() < self._started_at + REGISTER_AFTER_S:
--- a/src/lavendergap/entry/documents.py
+++ b/src/lavendergap/entry/documents.py
@@ -220,8 +220,8 @@
     async def _fetch(self, name: str) -> None:
         """Fetch a document from the hosts that advertise it, one after the other.
 
-        The first one may have died since; relying on it alone, a silent channel would
-        delay the newest version for seconds.
+        The first one may have failed since; if only that one were asked, its silent
+        channel would delay the newest version for seconds.
         """
         try:
             while want := self._advertisers.take(name, self._get_newest_seen(name)):
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -322,7 +322,7 @@
         now = trio.current_time()
         copy = self.copy
         if self.is_stale:
-            # No host had an answer of the store for a while: entries removed now may
+            # No host had an answer from the store for a while: entries removed now may
             # have lapsed during an outage.
             copy.record_store_return(now=now)
         is_outdated = update.revision < copy.revision
@@ -357,8 +357,8 @@
                     return
             if self.is_loaded and await self._ask_store(update):
                 return
-            # The store is down or its history is gone. Just before it drops its
-            # history, it also reports no change when there is one.
+            # This host has no copy yet, or the store is down, has dropped its history
+            # or is about to: it may then report no change when there is one.
             if not is_near:
                 await self._fetch(host)
         finally:
--- a/src/lavendergap/entry/grouprunner.py
+++ b/src/lavendergap/entry/grouprunner.py
@@ -237,10 +237,9 @@
     def _launch(self, effect: StartAttempt) -> None:
         """Start an attempt.
 
-        New settings may remove its server, and its call may be cancelled, before its
-        task first runs. So the connections are looked up here, as a later look-up
-        would fail and end the process, and the attempt can be cancelled from here on,
-        as it would otherwise still use a server.
+        Before the attempt's task first runs, new settings may remove the server and the
+        call may be cancelled. The connections are therefore looked up here, not in the
+        task, and the attempt can be cancelled from here on.
         """
         started = trio.current_time()
         match self._clients[effect.server]:
--- a/src/lavendergap/entry/peers.py
+++ b/src/lavendergap/entry/peers.py
@@ -33,7 +33,8 @@
 from .batch import SubmittedCall
 from .owner import Owner
 
-# One result is at most this large, so that frames stay well below the peer's limit.
+# Limit of the results that `split_answers` puts into one frame, well below the peer's
+# limit of a whole frame. A single result is at most this large.
 MAX_BATCH_BYTES = 1024 * 1024
 
 
--- a/src/lavendergap/entry/platformreader.py
+++ b/src/lavendergap/entry/platformreader.py
@@ -29,7 +29,7 @@
 MAX_RETRY_DELAY_S = 5.0
 
 MAX_WATCH_RETRY_DELAY_S = 1.5
-"""Retry limit of the watch holders; adds to the delay of an edit after an outage."""
+"""Maximum delay of a watch holder's retry; after an outage, it delays edits as well."""
 
 
 class PlatformReader:
--- a/src/lavendergap/entry/runsender.py
+++ b/src/lavendergap/entry/runsender.py
@@ -60,7 +60,8 @@
         outcome: Outcome = NotRun(
             step=Step.ROUTE, peer=group.name, reason=Reason.NO_REPLICA
         )
-        # This host is tried last, as it may be the one without a connection.
+        # If this host is not ranked, it is tried last: when no other host can be
+        # reached, it may be this one that is partitioned.
         for host in dict.fromkeys((*self._fleet.rank(group.name), self._own_host)):
             if trio.current_time() >= deadline:
                 # Checked before each send, as this process may have been paused.
--- a/src/lavendergap/entry/search.py
+++ b/src/lavendergap/entry/search.py
@@ -156,7 +156,7 @@
         self._run_started = trio.current_time()
         self._response_times: list[float] = []
         self._progress = trio.Event()
-        self._cut_at: float | None = None
+        self._wait_ends_at: float | None = None
         self._join = Join(
             snapshot=snapshot,
             policy=query.service.stragglers,
@@ -189,7 +189,7 @@
         return self._conclude()
 
     async def run_greatest(self, after: ExitStack) -> MergedRecords | NotRun | Unknown:
-        """Do the same, for the greatest records of all shards together.
+        """Query every owner for the greatest records of all shards together.
 
         Open calls are cancelled by a callback on `after`, once the caller has its
         answer: sending the cancellations first could delay the answer past its goal.
@@ -239,7 +239,7 @@
         wake_at = self._join.next_wake()
         self._join.advance(now=now)
         if self._join.is_done:
-            self._cut_at = wake_at
+            self._wait_ends_at = wake_at
 
     def _check_sub_queries(self, now: float) -> None:
         """Ping silent owners; give them up while others still have time to answer."""
@@ -668,7 +668,7 @@
                 # A copy, as answers arrive until the open calls are cancelled.
                 proofs=self._proofs.copy(),
                 coverage=coverage,
-                wait_ends_at=self._cut_at,
+                wait_ends_at=self._wait_ends_at,
             )
         # Open calls are cancelled only after the answer, and may run until then.
         is_open = any(sub_query.open_shards for sub_query in self._sub_queries)
