--- a/src/lavendergap/commands/explain.py
+++ b/src/lavendergap/commands/explain.py
@@ -13,7 +13,7 @@
 from .options import json_option
 
 MAX_LINES_SHOWN = 10_000
-"""The limit for the lines of a request; a large search logs some hundred."""
+"""The limit for the lines shown; a large search logs a few hundred."""
 
 N_CAUSES_SHOWN = 5
 N_SECONDS_SHOWN = 8
--- a/src/lavendergap/logs.py
+++ b/src/lavendergap/logs.py
@@ -96,7 +96,7 @@
 
 
 class DescriptorOutput:
-    """Writes to a file descriptor that is non-blocking or a regular file."""
+    """Writes to a file descriptor; blocks only if that is in blocking mode."""
 
     def __init__(self, *, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -145,8 +145,8 @@
     try:
         descriptor = os.open(f"/proc/self/fd/{descriptor}", flags)
     except OSError:
-        # Not a duplicate: a platform that captures the standard descriptors may
-        # identify them by number, and would silently lose every line.
+        # The descriptor itself, not a duplicate: a platform may capture output by the
+        # number of the descriptor, and lines written to another would be lost.
         return DescriptorOutput(descriptor=descriptor)
     return DescriptorOutput(descriptor=descriptor)
 
