--- a/src/lavendergap/coordination/admission.py
+++ b/src/lavendergap/coordination/admission.py
@@ -14,7 +14,7 @@
 # Longer than a deadline, as the queue absorbs shorter bursts, and short enough to
 # follow a rise in load.
 ARRIVAL_WINDOW_S = 0.5
-# Fewer calls in a window are a burst, and no rate is computed.
+# With fewer calls in two windows the rate is 0, as they may be a single burst.
 MIN_ARRIVALS = 20
 TARGET_WAIT_SHARE = 0.15
 WAIT_SHARE_GAIN = 1.0
@@ -66,7 +66,7 @@
         return bisect_right(self._entries, (priority, deadline), key=_get_sort_key)
 
     def pop_expiring(self, *, now: float, needed: float) -> list[Progress]:
-        """Remove and return the calls with less than `needed` seconds left."""
+        """Remove and return the calls with at most `needed` seconds left."""
         late = [entry[3] for entry in self._entries if entry[1] - needed <= now]
         for progress in late:
             self.discard(progress)
@@ -189,7 +189,8 @@
 class Admission:
     """Decides which calls may wait, from the arrival rate and recent latencies.
 
-    `latencies` is shared with hedging. While it is empty, all calls may wait.
+    `latencies` is shared with hedging. Until it has enough samples, a call is refused
+    only if no slot opens before its deadline.
     """
 
     __slots__ = ("latencies", "arrivals")
--- a/src/lavendergap/coordination/answerreserve.py
+++ b/src/lavendergap/coordination/answerreserve.py
@@ -21,7 +21,7 @@
 """Recent answers that are kept."""
 
 MIN_SAMPLES = 4
-"""With fewer samples, one answer at a busy moment would decide."""
+"""With fewer samples, one answer at a busy moment would determine the reserve."""
 
 MAX_SAMPLE_AGE_S = 30.0
 """Older answers are ignored: what made the host slow then, other processes or a burst
@@ -30,7 +30,7 @@
 
 THIRD_QUARTILE = 2
 """Index of the third quartile: three of four answers that wait for stragglers should be
-in time. A higher quantile would give up stragglers of all answers for the slowest.
+in time. With a higher quantile, a few slow answers would shorten the wait of all.
 """
 
 
--- a/src/lavendergap/coordination/callerdelay.py
+++ b/src/lavendergap/coordination/callerdelay.py
@@ -1,4 +1,4 @@
-"""Estimates of the time a request spends outside this host, of that to its goal."""
+"""Estimates of how much of the time to a request's goal passes outside this host."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -12,20 +12,19 @@
 """
 
 MIN_ROUND_TRIP_SAMPLES = 4
-"""With fewer samples, one connection delayed in a queue would decide."""
+"""With fewer samples, one delayed connection would determine the median."""
 
 DEFAULT_ROUND_TRIP_MS = 6.0
 """Assumed until enough round trips are measured."""
 
 MAX_SPENT_SHARE = 0.5
-"""A request that states less by more than this share of the goal was refused before, or
-its caller gives less time. Neither is a measurement of the network.
+"""The largest share of the goal that counts as time spent on the network. If more is
+missing, the request was refused before, or its caller gives less time.
 """
 
 TIME_LEFT_PERIOD_S = 30.0
-"""The most time that a route's requests stated is kept for one to two times this many
-seconds, as the callers may change. Long enough for two requests of a route that is
-called once in ten seconds.
+"""The most time left that a route's requests stated is kept for one to two of these
+periods, as the callers may change. Long enough for routes with few requests.
 """
 
 MIN_GOAL_SHARE = 0.5
@@ -157,7 +156,7 @@
 
 
 def count_parts(route: Route) -> int:
-    """Return from how many servers' parts an answer of the route is joined."""
+    """Return how many servers' parts are joined into an answer of the route."""
     match route.target:
         case GreatestOfAll(groups=groups):
             return len(groups)
--- a/src/lavendergap/coordination/calls.py
+++ b/src/lavendergap/coordination/calls.py
@@ -19,9 +19,10 @@
 class Call:
     """One call to one shard, to be answered by any replica of its group.
 
-    `call_id` is unique within the scheduler; `request_id` is for the logs. `version` is
-    the index version that the query is pinned to, or 0 for any. `deadline` and
-    `goal_at` are seconds on the loop's monotonic clock. An answer is most useful by
+    `call_id` is unique within the scheduler. `request_id` is shared by all calls of a
+    query: for logs, and to admit the same queries in all groups under overload.
+    `version` is the index version that the query is pinned to, or 0 for any. `deadline`
+    and `goal_at` are seconds on the loop's monotonic clock. An answer is most useful by
     `goal_at`; 0 means at any time up to the deadline.
 
     `forward` is set for a request that is forwarded unchanged. `max_attempts` limits
--- a/src/lavendergap/coordination/catalog.py
+++ b/src/lavendergap/coordination/catalog.py
@@ -10,10 +10,10 @@
 
 # Connections that each server of a group accepts if the routes set no number.
 DEFAULT_CONNECTIONS = 16
-# Owners of a group beyond one for each data centre of its servers: a host that takes
-# over while the previous owner finishes its calls.
+# Added to the number of a group's owners: a host that takes over while the previous
+# owner finishes its calls.
 N_SPARE_OWNERS = 1
-# A longer queue would be refused by its deadline, however fast the servers are.
+# Calls further back in the queue would miss their deadline, however fast the servers.
 QUEUE_LIMIT = 64
 # A call is hedged once it takes longer than this quantile of the group's calls. It
 # leaves enough of the extra calls for the stragglers that pauses of servers cause.
@@ -37,7 +37,8 @@
 
         Half of the part is a burst that may be spent at once, and half is refilled over
         the window, so that both together stay within the part in any window. Of each
-        half, hedges get two thirds and retries one.
+        half, hedges get two thirds and retries one. A burst is at least one call, even
+        if that exceeds a small part.
         """
         half = self.slack / n_owners / 2
         return ExtraCalls(
--- a/src/lavendergap/coordination/choice.py
+++ b/src/lavendergap/coordination/choice.py
@@ -7,11 +7,12 @@
 from .admission import Capacity
 from .replicas import NEVER, REPORT_LIFETIME_S, Replica
 
-# More than any load: a server that failed the call is used only if there is no other.
+# More than any load: a server that failed the call, or is stalled, is used only if no
+# other has a free slot.
 TRIED_PENALTY = 1_000.0
-# Added to the score of a server in another data centre; as much as all slots of an idle
-# server. A near server is used while it has a free slot and is not much slower than
-# usual, as traffic between data centres is paid for.
+# Added to the score of a server in another data centre; as much as calls in all slots
+# add. A near server is used while it has a free slot and is not much slower than the
+# others, as traffic between data centres is paid for.
 REMOTE_PENALTY = 1.0
 
 
@@ -53,11 +54,11 @@
 ) -> Choice:
     """Choose the replica for one attempt.
 
-    Servers in `excluded` refused this call. Those in `tried` failed it and are used
-    only if no other has a free slot. With `data_centre`, servers there are preferred;
-    with `allowed`, only servers in these data centres are used. If every server that
-    could serve the call is ejected, all of them are candidates again, as the fault may
-    be on this host's side; `why` then says so.
+    Servers in `excluded` are not used. Those in `tried` failed this call or are
+    stalled, and are used only if no other has a free slot. With `data_centre`, servers
+    there are preferred; with `allowed`, only servers in these data centres are used. If
+    every server that could serve the call is ejected, all of them are candidates again,
+    as the fault may be on this host's side; `why` then says so.
     """
     if allowed is not None:
         replicas = [r for r in replicas if r.server.data_centre in allowed]
--- a/src/lavendergap/coordination/documents.py
+++ b/src/lavendergap/coordination/documents.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ignored:
-    """Nothing changed. `detail` is the message of the checker for a refused body."""
+    """The version was not put in force; `detail` is why the checker refused it."""
 
     name: str
     version: int
@@ -177,7 +177,7 @@
             if remote.version > self._newest_seen(remote.name)
         )
         remote_versions = {remote.name: remote.version for remote in digest.newest}
-        # Versions omitted from a truncated digest are older than all that it lists.
+        # Versions omitted from a truncated digest are no newer than any that it lists.
         oldest_listed = min((d.version for d in digest.newest), default=-1)
         oldest_listed = oldest_listed if digest.truncated else -1
         offered = tuple(
--- a/src/lavendergap/coordination/hedging.py
+++ b/src/lavendergap/coordination/hedging.py
@@ -95,9 +95,9 @@
 
 
 def choose_hedge_delay(recent: RecentLatencies, *, left: float) -> float:
-    """Return the seconds after which to hedge, `left` seconds before the goal.
+    """Return the seconds after the start of an attempt at which to hedge it.
 
-    `left` is counted from the start of the attempt. Without a goal (0 or less) only the
+    `left` is the time from that start to the goal. Without a goal (0 or less) only the
     latencies decide, and nothing is hedged while they are unknown.
 
     >>> recent = RecentLatencies(quantile=0.9)
@@ -115,7 +115,7 @@
         # Where each host rarely sees such a call, waiting for enough latencies would
         # mean that none is hedged.
         return latest
-    # With a goal of less than two calls, a hedge would help few of them.
+    # If the goal is less than two usual calls away, few hedges would answer by it.
     latest = max(latest, STRAGGLER_MEDIAN_FACTOR * (recent.median or 0.0))
     return min(latest, max(recent.delay, EARLIEST_HEDGE_SHARE * left))
 
--- a/src/lavendergap/coordination/membership.py
+++ b/src/lavendergap/coordination/membership.py
@@ -194,7 +194,7 @@
         return self._gossip(now)
 
     def probe(self, name: str, *, now: float) -> list[Send]:
-        """Probe a member out of turn, after another part got no answer from it."""
+        """Probe a member out of turn, as after a message to it was not answered."""
         member = self._roster.get(name)
         if member is None or not member.may_own or self.superseded:
             return []
@@ -494,7 +494,7 @@
     # Anti-entropy: comparing tables.
 
     def _ping_unknown(self, now: float) -> list[Send]:
-        """Ping an address that belongs to no live member: a hint or a dead member's.
+        """Ping addresses that belong to no live member: hints and those of the dead.
 
         After a partition between regions each side has marked the other dead and sends
         it no probes; these pings reconnect the two.
--- a/src/lavendergap/coordination/membertable.py
+++ b/src/lavendergap/coordination/membertable.py
@@ -140,10 +140,9 @@
                 self.merge(suspect, reported_by=self.own.name, now=now)
                 return suspect
             case MemberState.LIVE | MemberState.LEAVING:
-                # This suspicion stays local. Of a member without updates since a pause,
-                # a gossiped one might bring back a member long dead. Of a member that
-                # leaves, it would replace that state, and the member would get work
-                # again until it refutes.
+                # This suspicion stays local. Gossip about a stale member might bring
+                # back one that is long dead. For a leaving member, "suspect" would
+                # replace "leaving", and it would get work again until it refutes.
                 self._suspicions.setdefault(name, now + self.suspect_s)
         return None
 
--- a/src/lavendergap/coordination/placement.py
+++ b/src/lavendergap/coordination/placement.py
@@ -1,8 +1,9 @@
-"""Which host owns a group, seen from one host: near the servers, then near the host.
+"""Which host owns a group, as one host ranks the hosts near the group's servers.
 
 Sending parts of a query between data centres is the largest cost to callers, so the
 owner of a group is in a data centre of its servers. Where the servers are in several,
-each of these data centres has an owner, and a host asks the nearest one.
+each of these data centres has an owner. A host asks the one in its own data centre or,
+if there is none, the one in the data centre that serves most groups.
 """
 
 from collections import Counter
@@ -16,7 +17,7 @@
 """How many hosts of one data centre are tried before those of another."""
 
 MIN_SERVED_SHARE = 0.8
-"""A data centre is as good as the best if it serves this share of its groups.
+"""A data centre ranks as equal to the best if it serves this share of as many groups.
 
 At 1, the loss of one server would move all groups to owners in another data centre,
 which have no state of their servers yet.
@@ -91,8 +92,8 @@
         """Put groups of one set and the same data centres into buckets.
 
         The bucket of a group depends on its name and data centres and on the size of
-        the set. By its position in a list instead, the loss of one server would move
-        many groups.
+        the set. If it depended on the group's position in a list, the loss of one
+        server would move many groups.
         """
         n_buckets = max(1, len(groups) // SHARDS_PER_BUCKET)
         for group in groups:
@@ -140,13 +141,13 @@
     def _update_order(self) -> None:
         """Order the data centres: the own one first, then those that serve most groups.
 
-        Each owner that is asked sends a list of its own. The order is greedy: each next
-        data centre serves most of the groups not served by those before, so that a
-        query goes to few data centres.
+        Each owner that is asked sends its own list of records, so a query should go to
+        few data centres. The order is greedy: each next data centre serves most of the
+        groups not served by those before.
         """
         self._ranked.clear()
         uncovered = Counter(
-            p for p in self._servers.values() if self._own_data_centre not in p
+            dcs for dcs in self._servers.values() if self._own_data_centre not in dcs
         )
         # Hosts of one data centre have the same order. Those of other data centres
         # break ties in another one, so that they do not all ask the same owners.
@@ -173,4 +174,6 @@
             )
             remaining.remove(best)
             self._data_centre_order.append(best)
-            uncovered = Counter({p: n for p, n in uncovered.items() if best not in p})
+            uncovered = Counter(
+                {dcs: n for dcs, n in uncovered.items() if best not in dcs}
+            )
--- a/src/lavendergap/coordination/progress.py
+++ b/src/lavendergap/coordination/progress.py
@@ -50,9 +50,9 @@
 
     `unknown` is the first outcome with which the call may have run; once it is set, the
     call never ends as "not run". `refusal` is the last outcome that proves an attempt
-    has not run. `may_hedge` is called before each hedge. `excluded` and `tried` hold
-    `Replica` objects and not names, as a restarted server has refused and failed
-    nothing.
+    has not run. `may_hedge` is called before each hedge. With `fresh` the next attempt
+    needs a new connection. `excluded` and `tried` hold `Replica` objects and not names,
+    as a restarted server has refused and failed nothing.
     """
 
     __slots__ = (
--- a/src/lavendergap/coordination/querylimiter.py
+++ b/src/lavendergap/coordination/querylimiter.py
@@ -8,6 +8,7 @@
 # A query has calls to every group. If each group refused calls on its own, few queries
 # would be complete under overload. So whole queries are admitted or refused, and
 # refusals by groups only adjust the limit.
+
 INITIAL_LIMIT = 4.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 10_000.0
@@ -110,8 +111,8 @@
             self.limit = min(MAX_LIMIT, self.limit + step)
 
     def _cut_limit(self, now: float, started: float) -> None:
-        # Queries admitted before the last cut met the old limit. If each of them
-        # cut it again, one congestion would reduce it to the minimum.
+        # Queries admitted before the last cut met the old limit. If each of them cut it
+        # again, one period of congestion would reduce it to the minimum.
         if self._last_cut_at is not None and started < self._last_cut_at:
             return
         self.limit = max(MIN_LIMIT, self.limit * LIMIT_DECREASE_FACTOR)
--- a/src/lavendergap/coordination/ranking.py
+++ b/src/lavendergap/coordination/ranking.py
@@ -75,7 +75,7 @@
         ranking = Ranking(hosts=hosts)
         joined = hosts - self.hosts
         if 2 * len(joined) >= len(hosts):
-            # With this many new hosts, as at joining, the cached entries save nothing.
+            # With this many new hosts, as when this one joins, the cache saves nothing.
             return ranking
         ranking._scored = self._scored.copy()
         ranking._ranked = self._ranked.copy()
--- a/src/lavendergap/coordination/relaying.py
+++ b/src/lavendergap/coordination/relaying.py
@@ -102,7 +102,7 @@
     """Return the other hosts in the data centre of `own`, sorted by name."""
     data_centre = data_centres.get(own)
     return tuple(
-        sorted(h for h, p in data_centres.items() if p == data_centre and h != own)
+        sorted(h for h, dc in data_centres.items() if dc == data_centre and h != own)
     )
 
 
--- a/src/lavendergap/coordination/replicas.py
+++ b/src/lavendergap/coordination/replicas.py
@@ -287,7 +287,7 @@
 
     def note_health(self, report: ServerReport, *, now: float) -> None:
         """Record a health report; recent answers take precedence over it."""
-        if report.versions and not self._has_answered_since(now):
+        if report.versions and not self._has_recent_versions(now):
             self.versions = report.versions
             self.versions_at = now
             self.versions_from_answer = False
@@ -322,8 +322,8 @@
             return True
         # The health endpoint has only reported "serving" although an answer differed,
         # so it is late or wrong. It takes effect only once the answer has expired.
-        memory = DRAIN_LIFETIME_S if self.state == "draining" else ANSWER_LIFETIME_S
-        return now - self.state_at >= memory
+        lifetime = DRAIN_LIFETIME_S if self.state == "draining" else ANSWER_LIFETIME_S
+        return now - self.state_at >= lifetime
 
     def rejoin(self, now: float) -> None:
         """Reset the state of a server that is back in the settings."""
@@ -346,7 +346,7 @@
         ramp_ends = self.ramp_starts_at + SLOW_START_S
         return ramp_ends if ramp_ends > now else NEVER
 
-    def _has_answered_since(self, now: float) -> bool:
+    def _has_recent_versions(self, now: float) -> bool:
         return self.versions_from_answer and now - self.versions_at < ANSWER_LIFETIME_S
 
     def _note_load(
--- a/src/lavendergap/coordination/resolution.py
+++ b/src/lavendergap/coordination/resolution.py
@@ -20,7 +20,7 @@
     WitnessLost,
 )
 
-# How long a caller waits before it asks again after an issuer cut off or paused.
+# How long a caller should wait before it asks again for an outcome.
 ASK_AGAIN_MS = 2_000
 
 
--- a/src/lavendergap/coordination/scheduler.py
+++ b/src/lavendergap/coordination/scheduler.py
@@ -51,8 +51,8 @@
 # How often within one hedge delay a hedge without a free slot is tried again.
 HEDGE_TRIES_PER_DELAY = 8
 MAX_HEDGES = 2
-# A server that has held a call for this many medians is taken to be stalled. A false
-# alarm only moves the next choice of a replica.
+# A server that has held a call for this many medians is taken to be stalled. If it is
+# not, the only effect is that other replicas are preferred for a while.
 STALL_MEDIAN_FACTOR = 3.0
 # Shorter waits may come from this process and not from a server.
 MIN_STALL_S = 0.01
@@ -128,7 +128,7 @@
         self._attempts: dict[int, Attempt] = {}
         self._waiting = WaitingCalls()
         # Stragglers whose hedge waits for a free slot. Finished ones are removed when a
-        # slot is freed.
+        # slot is freed while calls wait.
         self._blocked_hedges: dict[int, Progress] = {}
         self._timers = CallTimers()
         self._attempt_ids = count(1)
