--- a/src/lavendergap/state/__init__.py
+++ b/src/lavendergap/state/__init__.py
@@ -1,1 +1,1 @@
-"""Immutable data classes shared by all other layers; no I/O and no clocks."""
+"""Immutable data classes shared by all other layers, and readers of settings files."""
--- a/src/lavendergap/state/check.py
+++ b/src/lavendergap/state/check.py
@@ -65,7 +65,7 @@
 
 
 def _check_names(tree: Branch) -> Iterator[Finding]:
-    """Refuse two peers, or two groups, of one name.
+    """Report peers, and groups, with the same name.
 
     Log lines, outcomes and shard ownership identify peers and groups by name only;
     two with the same name could not be told apart.
--- a/src/lavendergap/state/feeds.py
+++ b/src/lavendergap/state/feeds.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FeedEntry:
-    """One entry of the store; only the adapter interprets `body`."""
+    """One entry of the store; only the platform's adapter interprets `body`."""
 
     name: str
     body: bytes
--- a/src/lavendergap/state/hostfile.py
+++ b/src/lavendergap/state/hostfile.py
@@ -82,9 +82,8 @@
 
     `regions` maps each data centre of the deployment to its region; it is empty if the
     file names none. `seeds` are the hosts contacted first to discover others; some may
-    be down. All hosts accept peer channels on the same port.
-    `cores` is the host's processing power in reference cores: with 0.5 an answer takes
-    twice as long.
+    be down. All hosts accept peer channels on the same port. `cores` is the host's
+    processing power in reference cores: with 0.5 an answer takes twice as long.
     """
 
     name: str
--- a/src/lavendergap/state/registry.py
+++ b/src/lavendergap/state/registry.py
@@ -35,7 +35,7 @@
         """
         if not _VISIBLE_ASCII.fullmatch(self.server_id):
             raise ValueError(
-                f"server id is not plain visible ASCII: {self.server_id!r}"
+                f"server id is not 1-256 visible ASCII characters: {self.server_id!r}"
             )
 
 
--- a/src/lavendergap/state/ticket.py
+++ b/src/lavendergap/state/ticket.py
@@ -181,7 +181,7 @@
 class RecordStarted:
     """Ask the witness to record the ticket as started, before the request runs.
 
-    Answered by `Ack`, `Void` or `Forgotten`.
+    Answered by `Ack`, `Void`, `Forgotten` or, for a forged ticket, `Refused`.
     """
 
     ticket: Ticket
@@ -191,7 +191,8 @@
 class RecordEnded:
     """Send the witness the outcome, so that it survives the issuer.
 
-    Answered by `Kept` or `Forgotten`; may be repeated until answered.
+    Answered by `Kept`, `Forgotten` or, for a forged ticket, `Refused`; may be repeated
+    until answered.
     """
 
     ticket: Ticket
--- a/src/lavendergap/state/values.py
+++ b/src/lavendergap/state/values.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AddressValue:
-    """An IPv4 number and a port, such as 127.0.0.1:8001."""
+    """An IPv4 address and a port, such as 127.0.0.1:8001."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -98,7 +98,7 @@
 def parse_address(text: str) -> Address | None:
     """Return the address in `text`, written as ip:port, or None if it is invalid.
 
-    Only IPv4 numbers of a single host are accepted: host names need a lookup, which
+    Only the IPv4 address of a single host is accepted: host names need a lookup, which
     may fail or change, and peers cannot connect to 0.0.0.0.
     """
     ip, _, port = text.rpartition(":")
