--- a/src/lavendergap/protocol/backend.py
+++ b/src/lavendergap/protocol/backend.py
@@ -43,7 +43,7 @@
 
 
 def build_headers(call: Call, *, attempt: bytes, host: bytes, left_ms: int) -> Headers:
-    """Return the headers of an attempt at `call`; `left_ms` is to its deadline."""
+    """Return the headers of an attempt at `call`; `left_ms` is the time left."""
     headers = [
         (b"Host", host),
         (b"Content-Type", b"application/json"),
@@ -59,7 +59,7 @@
 
 
 def check_reply(reply: Reply, call: Call, *, attempt: bytes, server: str) -> Verdict:
-    """Return the outcome that the reply proves; missing headers are not assumed."""
+    """Return the outcome that the reply proves; a missing header proves nothing."""
     if reply.status == 200:
         outcome = _check_answer(reply, call, attempt=attempt, server=server)
     else:
--- a/src/lavendergap/protocol/packing.py
+++ b/src/lavendergap/protocol/packing.py
@@ -214,7 +214,7 @@
 
 
 def pack_feed_update(frame_id: int, update: FeedUpdate) -> bytes:
-    """Return the bytes of FeedUpdate, without the length prefix."""
+    """Return the bytes of a FeedUpdate, without the length prefix."""
     changes, deflated = _deflate(update.changes)
     return _encode(
         _PackedFeedUpdate(
--- a/src/lavendergap/protocol/resolved.py
+++ b/src/lavendergap/protocol/resolved.py
@@ -1,8 +1,8 @@
-"""The codec of resolved settings, in which hosts send them to each other.
+"""The codec of resolved settings, the form in which hosts send them to each other.
 
-Operators' text is validated by the command that applies it and by the hosts that
-watch the platform. The others receive this compressed form, which is much cheaper to
-read; see docs/design/settings.md.
+The command that applies operators' text validates it and stores this compressed form
+with it, which is much cheaper to read. A host that watches the platform validates the
+text only if it can't use that form; see docs/design/settings.md.
 """
 
 import zlib
