--- a/src/lavendergap/entry/discovery.py
+++ b/src/lavendergap/entry/discovery.py
@@ -88,7 +88,7 @@
 
     async def _list_hosts(self) -> None:
         """List the registered hosts and contact them."""
-        match await self._adapter.feed_source.list_feed(HOSTS_FEED, allow_stale=True):
+        match await self._adapter.feed_source.list_feed(HOSTS_FEED, may_be_stale=True):
             case FeedListing(entries=entries):
                 for entry in entries:
                     self._join(entry)
--- a/src/lavendergap/entry/feeds.py
+++ b/src/lavendergap/entry/feeds.py
@@ -141,23 +141,23 @@
         # When all hosts start together, reading a lagging replica is far cheaper for
         # the store, and the next update or watch shows what is missing. After the
         # history is gone, a replica may be older than the store's remaining history.
-        allow_stale = True
+        may_be_stale = True
         while True:
-            await self._list(allow_stale=allow_stale)
+            await self._list(may_be_stale=may_be_stale)
             await self._follow()
-            allow_stale = False
+            may_be_stale = False
 
     # From the store.
 
-    async def _list(self, *, allow_stale: bool) -> None:
+    async def _list(self, *, may_be_stale: bool) -> None:
         """List the feed, or fetch it from a peer while the store does not answer."""
         while True:
-            match await self._source.list_feed(self.feed, allow_stale=allow_stale):
+            match await self._source.list_feed(self.feed, may_be_stale=may_be_stale):
                 case FeedListing() as listing:
                     self._record_answer()
                     before = self.copy.revision
                     has_changed = self._apply_listing(listing, "store")
-                    if not allow_stale:
+                    if not may_be_stale:
                         # The others fetch what this host missed with the history.
                         base = self.copy.revision if has_changed else before
                         self._announce(base=base, changes=())
--- a/src/lavendergap/state/feeds.py
+++ b/src/lavendergap/state/feeds.py
@@ -56,12 +56,12 @@
     """Reads the store's feeds. Its methods return errors and raise none."""
 
     async def list_feed(
-        self, feed: str, *, allow_stale: bool
+        self, feed: str, *, may_be_stale: bool
     ) -> FeedListing | StoreUnavailable:
         """Return all entries of a feed.
 
-        With `allow_stale` they may be some seconds old. Such a read is much cheaper for
-        the store; a watch from the returned revision yields the later changes.
+        With `may_be_stale` they may be some seconds old. Such a read is much cheaper
+        for the store; a watch from the returned revision yields the later changes.
         """
 
     async def watch_feed(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -153,7 +153,7 @@
         standin, client = store
         for index in range(2 * objectstore.PAGE_ITEMS + 3):
             standin.put("servers", f"i-{index:03}", {"n": index})
-        listing = await client.list_feed(SERVERS_FEED, allow_stale=False)
+        listing = await client.list_feed(SERVERS_FEED, may_be_stale=False)
         assert isinstance(listing, FeedListing)
         assert len(listing.entries) == 2 * objectstore.PAGE_ITEMS + 3
         assert listing.revision == standin.revision
@@ -194,7 +194,7 @@
     async def test_a_busy_store_is_a_server_error(self, store):
         standin, client = store
         standin.mode = "busy"
-        result = await client.list_feed(SERVERS_FEED, allow_stale=False)
+        result = await client.list_feed(SERVERS_FEED, may_be_stale=False)
         assert isinstance(result, StoreUnavailable)
         assert result.reason is Reason.SERVER_ERROR
 
@@ -232,7 +232,9 @@
         for port in (3, 4):
             address = Address(ip="127.0.0.1", port=port)
             assert await adapter.register_host("ptl-a-1", address)
-            listing = await adapter.feed_source.list_feed(HOSTS_FEED, allow_stale=False)
+            listing = await adapter.feed_source.list_feed(
+                HOSTS_FEED, may_be_stale=False
+            )
             assert isinstance(listing, FeedListing)
             [entry] = listing.entries
             assert adapter.read_host(entry.body) == address
@@ -246,13 +248,13 @@
         )
         for _ in range(2):  # A write is repeated if its answer is lost.
             assert await adapter.write_strike(strike)
-        listing = await client.list_feed(STRIKES_FEED, allow_stale=False)
+        listing = await client.list_feed(STRIKES_FEED, may_be_stale=False)
         assert isinstance(listing, FeedListing)
         [entry] = listing.entries
         assert adapter.read_strike(entry.name, entry.body) == strike
         for _ in range(2):
             assert await adapter.remove_strike("c0.7")
-        listing = await client.list_feed(STRIKES_FEED, allow_stale=False)
+        listing = await client.list_feed(STRIKES_FEED, may_be_stale=False)
         assert isinstance(listing, FeedListing)
         assert listing.entries == ()
 
@@ -274,7 +276,7 @@
         adapter = PlatformAdapter.__new__(PlatformAdapter)
         assert adapter.read_routes({}) is None
         standin.put("config", "main", {"version": 4, "routes": []})
-        listing = await client.list_feed(ROUTES_FEED, allow_stale=False)
+        listing = await client.list_feed(ROUTES_FEED, may_be_stale=False)
         assert isinstance(listing, FeedListing)
         table = adapter.read_routes({e.name: e.body for e in listing.entries})
         assert table is not None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -59,7 +59,7 @@
     def feed_source(self):
         return self
 
-    async def list_feed(self, feed, *, allow_stale):
+    async def list_feed(self, feed, *, may_be_stale):
         self.n_lists += 1
         if self.is_down:
             return StoreUnavailable(step=Step.CONNECT, reason=Reason.REFUSED_CONNECTION)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -300,7 +300,7 @@
             server = HttpServer(ip="127.0.0.1", port=0, handle=handle)
             port = await nursery.start(server.run)
             store = ObjectStore(address=Address(ip="127.0.0.1", port=port), kinds=KINDS)
-            listing = await store.list_feed(SERVERS_FEED, allow_stale=False)
+            listing = await store.list_feed(SERVERS_FEED, may_be_stale=False)
             nursery.cancel_scope.cancel()
         assert isinstance(listing, FeedListing)
         assert [entry.name for entry in listing.entries] == ["a", "b"]
@@ -315,7 +315,7 @@
         async with trio.open_nursery() as nursery:
             port = await nursery.start(standin.make_server(ip="127.0.0.1", port=0).run)
             store = ObjectStore(address=Address(ip="127.0.0.1", port=port), kinds=KINDS)
-            listing = await store.list_feed(SERVERS_FEED, allow_stale=False)
+            listing = await store.list_feed(SERVERS_FEED, may_be_stale=False)
             nursery.cancel_scope.cancel()
         assert isinstance(listing, FeedListing)
         config = make_active_config()
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -132,8 +132,8 @@
             await trio.sleep_forever()
         return self.answers.pop(0)
 
-    async def list_feed(self, feed, *, allow_stale):
-        return await self._next(LAGGING if allow_stale else "list")
+    async def list_feed(self, feed, *, may_be_stale):
+        return await self._next(LAGGING if may_be_stale else "list")
 
     async def watch_feed(self, feed, *, after, wait_s):
         return await self._next(f"watch {after}")
@@ -688,8 +688,8 @@
         self._store = store
         self._seconds = seconds
 
-    async def list_feed(self, feed, *, allow_stale):
-        return await self._store.list_feed(feed, allow_stale=allow_stale)
+    async def list_feed(self, feed, *, may_be_stale):
+        return await self._store.list_feed(feed, may_be_stale=may_be_stale)
 
     async def watch_feed(self, feed, *, after, wait_s):
         await trio.sleep(self._seconds)
